--- a/cranberryline/jobs/events.py
+++ b/cranberryline/jobs/events.py
@@ -1,4 +1,4 @@
-"""Read an item's stream of events, and keep what may be gone on from after a break."""
+"""Parses the event stream of an item and collects the events from which a request can resume."""
 
 import attrs
 
@@ -10,9 +10,10 @@
 
 @attrs.frozen
 class Event:
-    """One whole event; `version` is set where the stream says that it changes with this one.
+    """A complete event.
 
-    `raw` is the event as it came, its end included.
+    `version` is set if the stream announces a new model version with this event. `raw` is the event
+    as received, including its terminator.
     """
 
     id: int
@@ -22,7 +23,7 @@
 
 
 class EventReader:
-    """Cut bytes into whole events; one that was broken off in the middle is never had."""
+    """Splits a byte stream into events; an incomplete event at the end is never returned."""
 
     def __init__(self, version_field: str) -> None:
         self._version_field = version_field
@@ -30,11 +31,14 @@
 
     @property
     def clean(self) -> bool:
-        """Tell whether no part of an event is left over."""
+        """Return whether the buffer contains no part of an incomplete event."""
         return not self._buffer.strip()
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that are whole now; raise ValueError on what is no event."""
+        """Return the events that are completed by `data`.
+
+        Raises ValueError if an event is malformed or longer than `_MAX_EVENT_BYTES`.
+        """
         self._buffer += data.replace(b"\r\n", b"\n")
         events: list[Event] = []
         while (end := self._buffer.find(_EVENT_END)) >= 0:
@@ -42,7 +46,7 @@
             if block.strip():
                 events.append(self._parse(block))
         if len(self._buffer) > _MAX_EVENT_BYTES:
-            raise ValueError("an event without an end")
+            raise ValueError("event exceeds the maximum size")
         return events
 
     def _parse(self, block: bytes) -> Event:
@@ -58,15 +62,16 @@
             elif name.lower() == self._version_field:
                 version = int(value)
         if event_id is None:
-            raise ValueError("an event without an id")
+            raise ValueError("event has no id")
         return Event(event_id, "\n".join(data), version, block + _EVENT_END)
 
 
 @attrs.define
 class ItemText:
-    """The events that an item has so far, over all its runs, and the versions that made them.
+    """The events of an item from all its requests, and the model versions that generated them.
 
-    The first `cut` events have been cut off as pieces; `fresh_versions` made those behind them.
+    The first `cut` events have been split off as pieces to be stored. `fresh_versions` generated
+    the events after them.
     """
 
     events: list[str] = attrs.field(factory=list)
@@ -81,7 +86,7 @@
         return "\n".join(self.events)
 
     def add(self, event: Event, version: int) -> bool:
-        """Take the next event; False for one that does not follow the last one."""
+        """Add the next event; return False if its id does not follow the last one."""
         if self.last_id is not None and event.id != self.last_id + 1:
             return False
         self.events.append(event.data)
@@ -94,18 +99,18 @@
 
     @property
     def fresh(self) -> int:
-        """Return how many events have not been cut off yet."""
+        """Return the number of events that have not been split off yet."""
         return len(self.events) - self.cut
 
     def cut_fresh(self) -> tuple[list[str], tuple[int, ...]]:
-        """Cut off what is behind the last piece: its events, and the versions that made them."""
+        """Split off the events after the last piece; return them and their model versions."""
         events, versions = self.events[self.cut :], tuple(self.fresh_versions)
         self.cut = len(self.events)
         self.fresh_versions = []
         return events, versions
 
     def clear(self) -> None:
-        """Forget everything: the item is made anew."""
+        """Discard all events, so that the text is generated from the start."""
         self.events.clear()
         self.versions.clear()
         self.last_id = None
--- a/cranberryline/jobs/tools.py
+++ b/cranberryline/jobs/item_context.py
@@ -1,4 +1,4 @@
-"""What the parts that run an item work with."""
+"""Shared dependencies and state of the classes that run items."""
 
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
@@ -19,20 +19,20 @@
 from .knowledge import JobKnowledge
 from .model import Item, ItemResult
 from .ports import EdgeFormat
-from .scoring import ScoringPlaces
+from .scoring import ScoringSlots
 from .state import JobState
 from .texts import KeptText
 
-__all__ = ["ItemTools"]
+__all__ = ["ItemContext"]
 
 
-async def _async_nothing(_state: JobState) -> None:
-    """Read nothing."""
+async def _async_read_nothing(_state: JobState) -> None:
+    """Default for `async_read_texts`; reads nothing."""
 
 
 @attrs.define
-class ItemTools:
-    """What running an item takes."""
+class ItemContext:
+    """Dependencies of `ItemRun`, and the state that all runs of this node share."""
 
     routes: RouteBook
     dispatcher: Dispatcher
@@ -41,13 +41,17 @@
     clock: Clock
     metrics: Metrics
     rng: Random
-    scoring: ScoringPlaces
-    kept: Callable[[Item], ItemResult | None]
+    scoring_slots: ScoringSlots
+    # Returns the result of the same item in any known job, if it is completed.
+    find_result: Callable[[Item], ItemResult | None]
     knowledge: JobKnowledge
-    begun: Callable[[Item], KeptText | None] = lambda _item: None
-    read_texts: Callable[[JobState], Awaitable[None]] = _async_nothing
-    hedges: HedgeBudget = attrs.field(factory=HedgeBudget)
-    heard: dict[str, timedelta] = attrs.field(factory=dict)
-    turned_away: TurnedAway = attrs.field(factory=TurnedAway)
+    # Returns the longest stored partial text of the same item in any known job.
+    find_partial_text: Callable[[Item], KeptText | None] = lambda _item: None
+    # Reads the stored partial texts of a job from the log.
+    async_read_texts: Callable[[JobState], Awaitable[None]] = _async_read_nothing
+    hedge_budget: HedgeBudget = attrs.field(factory=HedgeBudget)
+    # Monotonic time of the last byte from each upstream.
+    last_received_at: dict[str, timedelta] = attrs.field(factory=dict)
+    rejecting_upstreams: TurnedAway = attrs.field(factory=TurnedAway)
     lengths: TextLengths = attrs.field(factory=TextLengths)
     paces: EnginePaces = attrs.field(factory=EnginePaces)
--- a/cranberryline/jobs/plan.py
+++ b/cranberryline/jobs/plan.py
@@ -1,4 +1,4 @@
-"""What of a job falls to this node, worked out once for each set of live nodes."""
+"""Computes which groups of a job this node may start, once for each set of live nodes."""
 
 from collections.abc import Collection, Iterator
 from datetime import timedelta
@@ -16,18 +16,18 @@
 
 @attrs.define(eq=False)
 class _Group:
-    """A group that this node starts, at once or after `delay` without a result of it."""
+    """A group that this node starts immediately, or after `delay` without progress of the group."""
 
     group: str
     delay: timedelta
-    left: list[int]
+    remaining: list[int]
 
 
 class JobPlan:
-    """The groups of a job that this node may start while the same nodes live.
+    """The groups of a job that this node may start while the set of live nodes is unchanged.
 
-    Worked out at every look, the placement of every group of every job cost each node 0.3 ms a look with
-    three open jobs, some 30 times a second; most nodes have no part in most jobs.
+    The placement is cached because computing it for three open jobs takes 0.3 ms, and jobs are
+    checked some 30 times per second. Most nodes have no groups of most jobs.
     """
 
     def __init__(
@@ -41,26 +41,30 @@
         self._state = state
         groups: dict[str, _Group | None] = {}
         for index, item in enumerate(state.head.items):
-            name = group_of(item)
-            if name not in groups:
-                delay = self.placement.start_delay(name)
-                groups[name] = None if delay is None else _Group(item.group, delay, [])
-            found = groups[name]
-            if found is not None:
-                found.left.append(index)
-        self._groups = [found for found in groups.values() if found is not None]
+            group_name = group_of(item)
+            if group_name not in groups:
+                delay = self.placement.start_delay(group_name)
+                groups[group_name] = None if delay is None else _Group(item.group, delay, [])
+            planned = groups[group_name]
+            if planned is not None:
+                planned.remaining.append(index)
+        self._groups = [planned for planned in groups.values() if planned is not None]
 
-    def due(self, now: timedelta, current: bool) -> Iterator[int]:
-        """Yield the items that are due and not listed yet; `current` says whether others are heard."""
-        state, over = self._state, False
-        for found in self._groups:
-            if found.delay and not current:
+    def due(self, now: timedelta, up_to_date: bool) -> Iterator[int]:
+        """Yield the indexes of items that are due and have no result yet.
+
+        `up_to_date` is whether this node's view of the log is up to date. Without it, groups of
+        other nodes are not taken over.
+        """
+        state, any_finished = self._state, False
+        for planned in self._groups:
+            if planned.delay and not up_to_date:
                 continue
-            since = max(state.seen_at, state.moved_at.get(found.group, state.seen_at))
-            if now - since < found.delay:
+            since = max(state.seen_at, state.moved_at.get(planned.group, state.seen_at))
+            if now - since < planned.delay:
                 continue
-            found.left = [index for index in found.left if index not in state.done]
-            over = over or not found.left
-            yield from found.left
-        if over:
-            self._groups = [found for found in self._groups if found.left]
+            planned.remaining = [index for index in planned.remaining if index not in state.done]
+            any_finished = any_finished or not planned.remaining
+            yield from planned.remaining
+        if any_finished:
+            self._groups = [planned for planned in self._groups if planned.remaining]
--- a/cranberryline/jobs/ports.py
+++ b/cranberryline/jobs/ports.py
@@ -1,4 +1,4 @@
-"""Port to a platform's manner of speaking: what callers and upstreams write, as typed values."""
+"""Port to the message format of a platform: messages of callers and upstreams as typed values."""
 
 import abc
 from collections.abc import Mapping
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class JobRead:
-    """Read a job's results from a position on."""
+    """A call to read the results of a job from the position `after` on, waiting up to `wait`."""
 
     job: str
     after: int
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class ItemBodyRead:
-    """Read the body of an item that is not listed yet."""
+    """A call to read the body of an item that has no result yet."""
 
     job: str
     item: str
@@ -43,14 +43,17 @@
 
 @attrs.frozen
 class JobEnd:
-    """End a job."""
+    """A call to end a job."""
 
     job: str
 
 
 @attrs.frozen
 class PlainCall:
-    """A request to be passed on, or a job to be taken, as its route says."""
+    """A request to forward or a job to accept, depending on its route.
+
+    `last_event` is the id of the event after which the response should resume.
+    """
 
     request_id: str
     time_left: timedelta | None
@@ -62,14 +65,14 @@
 
 @attrs.frozen
 class AnswerHead:
-    """What an upstream's answer says besides its body."""
+    """The relevant headers of an upstream's response."""
 
     signature: str
     version: int | None
 
 
 class EdgeFormat(abc.ABC):
-    """Translate between a platform's messages and the product's."""
+    """Translates between the messages of a platform and those of this project."""
 
     version_field: str
 
@@ -77,29 +80,32 @@
     def read_call(
         self, method: str, path: str, query: Mapping[str, str], headers: Mapping[str, str]
     ) -> Result[CallerCall, str]:
-        """Tell what a caller asks; the error says what is wrong with it."""
+        """Parse the call of a caller; the error describes what is invalid."""
 
     @abc.abstractmethod
     def credential(self, headers: Mapping[str, str]) -> str:
-        """Return what tells callers of one host apart, an empty text where nothing does."""
+        """Return what distinguishes callers of one host, or an empty string."""
 
     @abc.abstractmethod
     def read_job(
         self, request_id: str, host: str, path: str, body: bytes, now: float
     ) -> Result[Job, str]:
-        """Read a submitted job; the error says what is wrong with it."""
+        """Parse a submitted job; the error describes what is invalid."""
 
     @abc.abstractmethod
     def write_page(self, page: JobPage) -> bytes:
-        """Return a page of results as a caller reads it."""
+        """Encode a page of results for a caller."""
 
     @abc.abstractmethod
     def item_headers(self, job: Job, item: Item, last_event: int | None) -> Pairs:
-        """Return the headers with which an item is run, or gone on with after an event."""
+        """Return the headers of the request that generates an item's text.
+
+        If `last_event` is set, the text is resumed after that event.
+        """
 
     @abc.abstractmethod
     def resume_headers(self, headers: Pairs, last_event: int | None) -> Pairs:
-        """Return a caller's headers, asking to go on after an event."""
+        """Return a caller's headers with a request to resume after an event."""
 
     @abc.abstractmethod
     def scorer_headers(self, scorer: Scorer) -> Pairs:
@@ -107,4 +113,4 @@
 
     @abc.abstractmethod
     def answer_head(self, headers: Pairs) -> AnswerHead:
-        """Read the headers of an upstream's answer."""
+        """Parse the headers of an upstream's response."""
--- /dev/null
+++ b/cranberryline/jobs/run_monitor.py
@@ -0,0 +1,62 @@
+"""Monitors the request for an item's text, and detects stalled and slow engines."""
+
+from datetime import timedelta
+
+from cranberryline.decisions.moving import faster_elsewhere
+from cranberryline.dispatch.model import CallerRequest
+
+from .events import ItemText
+from .item_context import ItemContext
+from .model import Item
+from .sink import STALL_TIMEOUT, TextSink
+
+__all__ = ["RunMonitor"]
+
+# If an upstream sends no byte of any request for this long, the text is resumed at another one.
+# This is some ten times the pause that a trainer allows between events, so a slow engine keeps its
+# work. While other requests there make progress, the item is only queued, and `STALL_TIMEOUT`
+# applies instead.
+SILENCE_TIMEOUT = timedelta(milliseconds=1800)
+
+
+class RunMonitor:
+    """Monitors one request for a text, and compares its engine with the other available engines."""
+
+    def __init__(
+        self, context: ItemContext, item: Item, text: ItemText, req: CallerRequest, sink: TextSink
+    ) -> None:
+        self._context = context
+        self._item = item
+        self._text = text
+        self._req = req
+        self._sink = sink
+
+    def is_stalled(self) -> bool:
+        """Return whether the engine is silent, or only this request makes no progress there."""
+        last_received_at = self._sink.last_received_at
+        if last_received_at is None:
+            return False
+        now = self._context.clock.monotonic()
+        upstream_active_at = max(
+            self._context.last_received_at.get(self._sink.upstream, last_received_at),
+            last_received_at,
+        )
+        return now - upstream_active_at > SILENCE_TIMEOUT or now - last_received_at > STALL_TIMEOUT
+
+    def is_slow(self) -> bool:
+        """Return whether another engine with a free slot would complete the text sooner."""
+        now, paces = self._context.clock.monotonic(), self._context.paces
+        events_left = self._context.lengths.events_left(
+            self._item.told_tokens, len(self._text.events)
+        )
+        current_pace = paces.events_per_second(self._sink.upstream, now)
+        other_paces = [
+            paces.events_per_second(upstream, now)
+            for upstream in self._context.dispatcher.with_room(self._req.service)
+            if upstream != self._sink.upstream and self._may_serve(upstream)
+        ]
+        return faster_elsewhere(events_left, current_pace, other_paces)
+
+    def _may_serve(self, upstream: str) -> bool:
+        req = self._req
+        return upstream not in req.avoid and (req.eligible is None or req.eligible(upstream))
--- a/cranberryline/jobs/runner.py
+++ b/cranberryline/jobs/runner.py
@@ -1,4 +1,4 @@
-"""Run the items of open jobs that fall to this node, and record how they ended."""
+"""Runs the items of open jobs that are assigned to this node and records their results."""
 
 import asyncio
 import random
@@ -18,32 +18,33 @@
 
 from .groups import group_of
 from .item import ItemRun
+from .item_context import ItemContext
 from .keeper import TextKeeper
 from .model import ItemResult, JobRecord, ResultRecord
 from .partition import partition_of
 from .plan import JobPlan
 from .ports import EdgeFormat
-from .scoring import ScoringPlaces
+from .scoring import ScoringSlots
 from .service import JobService
 from .state import JobState
-from .tools import ItemTools
 
 __all__ = ["JobRunner", "RunnerParts"]
 
 _LOGGER = get_logger(__name__)
 
-_LOOK_AGAIN = timedelta(milliseconds=250)
-# Results that end within one turn of the store's answer go into its next call together.
-_BATCH_PAUSE = timedelta(milliseconds=4)
-_RECORD_PAUSE = timedelta(milliseconds=250)
-_MAX_BATCH = 200
-# Another node's silence says something only while this node hears the store.
-_CURRENT_WITHIN = timedelta(seconds=2)
+_FULL_SCAN_INTERVAL = timedelta(milliseconds=250)
+# Collects results that complete at nearly the same time into one append.
+_BATCH_DELAY = timedelta(milliseconds=4)
+_APPEND_RETRY_DELAY = timedelta(milliseconds=250)
+_MAX_BATCH_RECORDS = 200
+# A missing result indicates a failed node only while this node's view of the log is at most this
+# old.
+_MAX_LOG_AGE = timedelta(seconds=2)
 
 
 @attrs.define
 class RunnerParts:
-    """What the runner works with."""
+    """Dependencies of `JobRunner`."""
 
     jobs: JobService
     routes: RouteBook
@@ -53,47 +54,53 @@
     clock: Clock
     metrics: Metrics
     node: str
+    # Returns the nodes that are alive, given the monotonic time at which a job was first seen.
     live: Callable[[timedelta], Collection[str]]
 
 
 @attrs.frozen(eq=False)
-class _Running:
-    """An item's run and the task that it goes on in."""
+class _RunningItem:
+    """The run of an item and the task that executes it."""
 
     run: ItemRun
     task: asyncio.Task[None]
 
 
 @attrs.frozen(eq=False)
-class _Untold:
-    """An item that ended at `ended` (monotonic clock) and whose line in the log is not written yet."""
+class _UnloggedItem:
+    """An item that ended at `ended` (monotonic clock) and is not in the application log yet."""
 
     run: ItemRun
     ended: timedelta
 
 
 class JobRunner:
-    """Start what falls to this node, once; append results until they stand."""
+    """Starts each item that is assigned to this node once and appends its result to the log.
+
+    An append is repeated until the result is known to be in the log.
+    """
 
     def __init__(self, parts: RunnerParts) -> None:
         self._parts = parts
         self._jobs = parts.jobs
         self._clock = parts.clock
         self._wake = asyncio.Event()
-        self._running: dict[tuple[str, int], _Running] = {}
-        # What ended here and may not be listed yet. Looked for in the book alone it would be due again
-        # until its record comes back from the store: one item in eight ran twice, and was scored twice.
-        self._ended: defaultdict[str, set[int]] = defaultdict(set)
+        self._running: dict[tuple[str, int], _RunningItem] = {}
+        # Indexes of items that ended on this node, per job. The job book lists a result only after
+        # its record has been read back from the store. Without this set an item would be due again
+        # until then: one item in eight ran twice and was scored twice.
+        self._ended_items: defaultdict[str, set[int]] = defaultdict(set)
         self._plans: dict[str, JobPlan] = {}
-        # Jobs to look at next; the others only when something may be due by time or by who lives.
-        self._touched: set[str] = set()
-        self._all_at = timedelta()
-        self._finished: dict[int, list[ResultRecord]] = {}
-        self._untold: dict[tuple[str, int], _Untold] = {}
+        # Jobs to check at the next wake-up. All other jobs are checked only by the periodic full
+        # scan, since their items become due only with time or with a change of the live nodes.
+        self._changed_jobs: set[str] = set()
+        self._next_full_scan = timedelta()
+        self._unrecorded: dict[int, list[ResultRecord]] = {}
+        self._unlogged: dict[tuple[str, int], _UnloggedItem] = {}
         self._writers: dict[int, asyncio.Task[None]] = {}
         self._rng = random.Random()
         self.stopping = False
-        self._tools = ItemTools(
+        self._context = ItemContext(
             parts.routes,
             parts.dispatcher,
             parts.edge,
@@ -101,7 +108,7 @@
             parts.clock,
             parts.metrics,
             self._rng,
-            ScoringPlaces(parts.dispatcher.places),
+            ScoringSlots(parts.dispatcher.places),
             parts.jobs.book.completed,
             parts.jobs.knowledge,
             parts.jobs.book.begun,
@@ -117,37 +124,37 @@
 
     @property
     def busy(self) -> bool:
-        """Tell whether items run or results have still to be recorded."""
-        return bool(self._running) or any(self._finished.values())
+        """Return whether items are running or results are waiting to be recorded."""
+        return bool(self._running) or any(self._unrecorded.values())
 
     def wake(self) -> None:
-        """Look at all jobs again soon: nodes or routes have changed."""
-        self._all_at = timedelta()
+        """Schedule a full scan now, since the live nodes or the routes have changed."""
+        self._next_full_scan = timedelta()
         self._wake.set()
 
     async def async_run(self) -> None:
-        """Start what is due, and keep what runs, until cancelled."""
-        keeping = asyncio.ensure_future(self._keeper.async_run())
+        """Start due items and store the partial texts of running items until cancelled."""
+        keeper_task = asyncio.ensure_future(self._keeper.async_run())
         try:
-            await self._async_start()
+            await self._async_scan_jobs()
         finally:
-            keeping.cancel()
+            keeper_task.cancel()
 
-    async def _async_start(self) -> None:
+    async def _async_scan_jobs(self) -> None:
         while True:
-            pause = _LOOK_AGAIN
+            delay = _FULL_SCAN_INTERVAL
             if not self.stopping and self._parts.routes.table is not None:
-                self._look()
-                pause = max(self._all_at - self._clock.monotonic(), timedelta())
+                self._scan()
+                delay = max(self._next_full_scan - self._clock.monotonic(), timedelta())
             self._wake.clear()
             try:
-                async with asyncio.timeout(pause.total_seconds()):
+                async with asyncio.timeout(delay.total_seconds()):
                     await self._wake.wait()
             except TimeoutError:
                 pass
 
     async def async_close(self) -> None:
-        """End every run."""
+        """Cancel all running items and pending appends."""
         tasks = [*(item.task for item in self._running.values()), *self._writers.values()]
         for task in tasks:
             task.cancel()
@@ -156,15 +163,15 @@
 
     def _on_change(self, state: JobState) -> None:
         if state.ended:
-            self._cancel_job(state)
-        if state.open and state.head.id in self._plans and not self._touched:
-            # A result makes nothing due: it only puts off when others step in. On a grown site some 80 come
-            # each second; with a wake and a look for each they took a fifth of what the loop did.
+            self._cancel_items(state)
+        if state.open and state.head.id in self._plans and not self._changed_jobs:
+            # A result makes no item due; it only delays a takeover by other nodes. A large site has
+            # some 80 results per second, and a scan for each took a fifth of the event loop's time.
             return
-        self._touched.add(state.head.id)
+        self._changed_jobs.add(state.head.id)
         self._wake.set()
 
-    def _cancel_job(self, state: JobState) -> None:
+    def _cancel_items(self, state: JobState) -> None:
         job_id = state.head.id
         keys = ((job_id, index) for index in range(len(state.head.items))) if self._running else ()
         items = [self._running[key] for key in keys if key in self._running]
@@ -181,53 +188,58 @@
                 stages=dict(Counter(item.run.phases.stage for item in items)),
             )
 
-    def _look(self) -> None:
-        """Look at what was touched, and at everything each `_LOOK_AGAIN`.
+    def _scan(self) -> None:
+        """Check the changed jobs, and all open jobs once every `_FULL_SCAN_INTERVAL`.
 
-        A new job makes nothing due of another: looked at with each change, all open jobs together cost a
-        node ten milliseconds of processor time a second (`script/bench fold`).
+        A change of one job does not make items of another job due. Checking all open jobs on each
+        change costs a node ten milliseconds of CPU time per second (`script/bench fold`).
         """
-        if self._clock.monotonic() >= self._all_at:
+        if self._clock.monotonic() >= self._next_full_scan:
             self._start_due()
             return
         jobs = self._jobs.book.jobs
-        states = [jobs[job_id] for job_id in self._touched if job_id in jobs]
-        self._look_at(sorted(states, key=lambda state: state.seen_at))
+        states = [jobs[job_id] for job_id in self._changed_jobs if job_id in jobs]
+        self._scan_states(sorted(states, key=lambda state: state.seen_at))
 
     def _start_due(self) -> None:
-        """Look at every open job."""
-        self._all_at = self._clock.monotonic() + _LOOK_AGAIN
-        unfinished = [state for state in self._jobs.book.jobs.values() if state.open]
-        open_ids = {state.head.id for state in unfinished}
-        for job_id in self._ended.keys() - open_ids:
-            del self._ended[job_id]
+        """Check every open job, and drop the data of jobs that are no longer open."""
+        self._next_full_scan = self._clock.monotonic() + _FULL_SCAN_INTERVAL
+        open_states = [state for state in self._jobs.book.jobs.values() if state.open]
+        open_ids = {state.head.id for state in open_states}
+        for job_id in self._ended_items.keys() - open_ids:
+            del self._ended_items[job_id]
         for job_id in self._plans.keys() - open_ids:
             del self._plans[job_id]
-        self._look_at(unfinished)
+        self._scan_states(open_states)
 
-    def _look_at(self, states: Iterable[JobState]) -> None:
+    def _scan_states(self, states: Iterable[JobState]) -> None:
         now = self._clock.monotonic()
-        self._touched.clear()
+        self._changed_jobs.clear()
         for state in states:
-            plan = self._plan(state)
+            plan = self._get_plan(state)
             if plan is not None:
-                self._start_job(state, plan, now)
+                self._start_due_items(state, plan, now)
         plans = sorted(self._plans.values(), key=lambda plan: plan.seen_at)
         placements = {plan.trainer: plan.placement for plan in plans if plan.tail.at_end}
-        self._tools.scoring.own_parts = sum(placed.in_team for placed in placements.values())
-        self._tools.scoring.all_parts = sum(placed.team_size for placed in placements.values())
+        self._context.scoring_slots.own_shares = sum(
+            placement.in_team for placement in placements.values()
+        )
+        self._context.scoring_slots.total_shares = sum(
+            placement.team_size for placement in placements.values()
+        )
 
-    def _plan(self, state: JobState) -> JobPlan | None:
-        """Return what of a job falls to this node, None while nothing of it may start."""
+    def _get_plan(self, state: JobState) -> JobPlan | None:
+        """Return the groups of a job that this node may start, or None if none may start now."""
         job_id = state.head.id
         if not state.open:
             self._plans.pop(job_id, None)
             return None
         tail = self._tail(job_id)
-        # A node that starts reads the jobs of the last minutes page by page, and a job before its end: run
-        # then, its items reach upstreams long after its caller was told that it is over.
+        # A starting node reads the partition page by page, so it reads a job before the record that
+        # ends it. Items started in between would reach upstreams after the caller was told that the
+        # job ended.
         if not tail.at_end:
-            self._touched.add(job_id)
+            self._changed_jobs.add(job_id)
             return None
         live = self._parts.live(state.seen_at)
         plan = self._plans.get(job_id)
@@ -235,11 +247,11 @@
             plan = self._plans[job_id] = JobPlan(state, tail, self._parts.node, live)
         return plan
 
-    def _start_job(self, state: JobState, plan: JobPlan, now: timedelta) -> None:
-        ended = self._ended.get(state.head.id, ())
+    def _start_due_items(self, state: JobState, plan: JobPlan, now: timedelta) -> None:
+        ended = self._ended_items.get(state.head.id, ())
         due = [
             index
-            for index in plan.due(now, self._is_current(plan.tail, now))
+            for index in plan.due(now, self._is_up_to_date(plan.tail, now))
             if index not in ended and (state.head.id, index) not in self._running
         ]
         if not due or not state.readable:
@@ -251,29 +263,31 @@
         return self._jobs.tails[partition_of(job_id, len(self._jobs.tails))]
 
     @staticmethod
-    def _is_current(tail: PartitionTail, now: timedelta) -> bool:
-        return tail.current_at is not None and now - tail.current_at < _CURRENT_WITHIN
+    def _is_up_to_date(tail: PartitionTail, now: timedelta) -> bool:
+        return tail.current_at is not None and now - tail.current_at < _MAX_LOG_AGE
 
     def _start_item(self, state: JobState, index: int) -> None:
         key = (state.head.id, index)
-        run = ItemRun(self._tools, state, index)
-        task = asyncio.ensure_future(self._async_item(run))
-        self._running[key] = _Running(run, task)
+        run = ItemRun(self._context, state, index)
+        task = asyncio.ensure_future(self._async_run_item(run))
+        self._running[key] = _RunningItem(run, task)
         self._keeper.wake()
         task.add_done_callback(lambda _: self._running.pop(key, None))
 
-    async def _async_item(self, run: ItemRun) -> None:
+    async def _async_run_item(self, run: ItemRun) -> None:
         result = await run.async_run()
         if result is not None:
-            self._untold[run.state.head.id, run.index] = _Untold(run, self._clock.monotonic())
-            self._finish(run.state, run.index, result)
+            self._unlogged[run.state.head.id, run.index] = _UnloggedItem(
+                run, self._clock.monotonic()
+            )
+            self._queue_result(run.state, run.index, result)
 
-    def _tell(self, record: ResultRecord, listed: bool) -> None:
-        """Log where an item's time went, once its result stands or nobody wants it any more."""
-        untold = self._untold.pop((record.job, record.index), None)
-        if untold is None:
+    def _log_ended_item(self, record: ResultRecord, listed: bool) -> None:
+        """Log the timings of an item once its result is recorded or no longer needed."""
+        unlogged = self._unlogged.pop((record.job, record.index), None)
+        if unlogged is None:
             return
-        run, ended, result = untold.run, untold.ended, record.result
+        run, ended, result = unlogged.run, unlogged.ended, record.result
         phases, job = run.phases, run.state.head
         _LOGGER.info(
             "item_ended",
@@ -286,72 +300,76 @@
             versions=result.versions,
             events=len(run.text.events),
             runs=run.runs,
-            taken_up=run.taken_up,
+            taken_up=run.resumed_events,
             known_ms=None if run.known_age is None else in_milliseconds(run.known_age),
-            waited_ms=in_milliseconds(run.began - run.state.seen_at),
-            text_ms=in_milliseconds(run.text_at - run.began),
-            place_ms=in_milliseconds(phases.place),
+            waited_ms=in_milliseconds(run.began_at - run.state.seen_at),
+            text_ms=in_milliseconds(run.text_ended_at - run.began_at),
+            place_ms=in_milliseconds(phases.slot_wait),
             prefill_ms=in_milliseconds(phases.prefill),
-            broken_ms=in_milliseconds(phases.broken),
+            broken_ms=in_milliseconds(phases.lost),
             resumed=phases.resumed,
             upstreams=phases.upstreams,
-            score_ms=in_milliseconds(ended - run.text_at),
+            score_ms=in_milliseconds(ended - run.text_ended_at),
             score_wait_ms=in_milliseconds(phases.score_wait),
             append_ms=in_milliseconds(self._clock.monotonic() - ended),
         )
 
-    def _finish(self, state: JobState, index: int, result: ItemResult) -> None:
-        self._ended[state.head.id].add(index)
-        part = partition_of(state.head.id, len(self._jobs.tails))
-        self._finished.setdefault(part, []).append(ResultRecord(state.head.id, index, result))
-        if part not in self._writers:
-            self._writers[part] = asyncio.ensure_future(self._async_write(part))
+    def _queue_result(self, state: JobState, index: int, result: ItemResult) -> None:
+        self._ended_items[state.head.id].add(index)
+        partition = partition_of(state.head.id, len(self._jobs.tails))
+        self._unrecorded.setdefault(partition, []).append(
+            ResultRecord(state.head.id, index, result)
+        )
+        if partition not in self._writers:
+            self._writers[partition] = asyncio.ensure_future(self._async_write(partition))
 
-    async def _async_write(self, part: int) -> None:
-        """Append what has ended until all of it stands, and count as at work no moment longer.
+    async def _async_write(self, partition: int) -> None:
+        """Append the results of a partition until none is left, then unregister this writer.
 
-        A callback of the task comes a turn of the loop after its last look. A result that ended in that
-        turn was left to a writer that was over, and its step waited until another node ran the item
-        anew (2 of 42 runs of the test of an item that is gone on with elsewhere). Between the last look
-        here and the end of `finally` nothing else runs.
+        The writer is removed here and not in a done callback, which runs one event loop iteration
+        after the last check for results. A result queued in that iteration would be left to a
+        writer that has ended, and its step would wait until another node runs the item again. No
+        other code runs between the last check and the end of `finally`.
         """
         try:
-            await self._async_write_all(part)
+            await self._async_write_all(partition)
         finally:
-            del self._writers[part]
+            del self._writers[partition]
 
-    async def _async_write_all(self, part: int) -> None:
-        """Append until nothing waits.
+    async def _async_write_all(self, partition: int) -> None:
+        """Append results until the partition's queue is empty.
 
-        A result whose append got no answer is appended again: the first one stands, so a second one
-        changes nothing, while one that was dropped would keep its step waiting.
+        An append without an answer is repeated. This is idempotent, since the first record of a
+        result wins, whereas a lost result would block its step.
         """
-        await self._clock.async_sleep(_BATCH_PAUSE)
-        while waiting := self._still_wanted(part):
-            batch: list[JobRecord] = list(waiting[:_MAX_BATCH])
+        await self._clock.async_sleep(_BATCH_DELAY)
+        while waiting := self._drop_obsolete(partition):
+            batch: list[JobRecord] = list(waiting[:_MAX_BATCH_RECORDS])
             if await self._jobs.async_record(batch[0].job, batch):
                 written = {id(record) for record in batch}
-                self._finished[part] = [
-                    record for record in self._finished[part] if id(record) not in written
+                self._unrecorded[partition] = [
+                    record for record in self._unrecorded[partition] if id(record) not in written
                 ]
-                for record in waiting[:_MAX_BATCH]:
-                    self._tell(record, listed=True)
+                for record in waiting[:_MAX_BATCH_RECORDS]:
+                    self._log_ended_item(record, listed=True)
                 continue
-            await self._clock.async_sleep(_RECORD_PAUSE * (0.5 + self._rng.random()))
+            await self._clock.async_sleep(_APPEND_RETRY_DELAY * (0.5 + self._rng.random()))
 
-    def _still_wanted(self, part: int) -> list[ResultRecord]:
-        """Drop what stands already or belongs to a job that has ended."""
+    def _drop_obsolete(self, partition: int) -> list[ResultRecord]:
+        """Remove results that are recorded or whose job has ended; return the remaining ones."""
         jobs = self._jobs.book.jobs
-        wanted = [
+        remaining = [
             record
-            for record in self._finished.get(part, [])
+            for record in self._unrecorded.get(partition, [])
             if (state := jobs.get(record.job)) is not None
             and not state.ended
             and record.index not in state.done
         ]
-        for record in self._finished.get(part, []):
+        for record in self._unrecorded.get(partition, []):
             state = jobs.get(record.job)
             if state is None or state.ended or record.index in state.done:
-                self._tell(record, listed=state is not None and record.index in state.done)
-        self._finished[part] = wanted
-        return wanted
+                self._log_ended_item(
+                    record, listed=state is not None and record.index in state.done
+                )
+        self._unrecorded[partition] = remaining
+        return remaining
--- a/cranberryline/jobs/scoring.py
+++ b/cranberryline/jobs/scoring.py
@@ -1,4 +1,4 @@
-"""Keep the scoring requests of this node within their share of each service."""
+"""Limits the concurrent scoring requests of this node to its share of each service."""
 
 import asyncio
 import contextlib
@@ -7,32 +7,37 @@
 
 from cranberryline.decisions.scoring import scoring_places
 
-__all__ = ["ScoringPlaces"]
+__all__ = ["ScoringSlots"]
 
 
-class ScoringPlaces:
-    """Places for scoring requests, by this node's parts in the jobs of the moment and all parts."""
+class ScoringSlots:
+    """Slots for scoring requests.
 
-    def __init__(self, places: Callable[[str], int]) -> None:
-        self.own_parts = 1
-        self.all_parts = 1
-        self._places = places
-        self._taken: Counter[str] = Counter()
-        self._freed = asyncio.Condition()
+    The slots of a service are divided by the shares of open jobs that the nodes run. A share is the
+    job of one trainer at one node of its team; `own_shares` are those of this node, `total_shares`
+    those of all nodes.
+    """
+
+    def __init__(self, slots: Callable[[str], int]) -> None:
+        self.own_shares = 1
+        self.total_shares = 1
+        self._slots = slots
+        self._in_use: Counter[str] = Counter()
+        self._released = asyncio.Condition()
 
     @contextlib.asynccontextmanager
-    async def place(self, service: str) -> AsyncIterator[None]:
-        """Wait for a place at a service and hold it."""
-        async with self._freed:
-            await self._freed.wait_for(lambda: self._has_place(service))
-            self._taken[service] += 1
+    async def slot(self, service: str) -> AsyncIterator[None]:
+        """Wait for a slot at a service, and occupy it while the context is open."""
+        async with self._released:
+            await self._released.wait_for(lambda: self._has_slot(service))
+            self._in_use[service] += 1
         try:
             yield
         finally:
-            self._taken[service] -= 1
-            async with self._freed:
-                self._freed.notify_all()
+            self._in_use[service] -= 1
+            async with self._released:
+                self._released.notify_all()
 
-    def _has_place(self, service: str) -> bool:
-        allowed = scoring_places(self._places(service), self.own_parts, self.all_parts)
-        return self._taken[service] < allowed
+    def _has_slot(self, service: str) -> bool:
+        allowed = scoring_places(self._slots(service), self.own_shares, self.total_shares)
+        return self._in_use[service] < allowed
--- a/cranberryline/jobs/service.py
+++ b/cranberryline/jobs/service.py
@@ -1,4 +1,4 @@
-"""What callers ask of batch jobs: submit, read, fetch a body, end."""
+"""Application service for batch jobs: submits, reads, records and ends them."""
 
 import asyncio
 import uuid
@@ -46,7 +46,10 @@
 
 @attrs.frozen
 class JobPage:
-    """A run of results from a position on."""
+    """Consecutive results of a job from a position on.
+
+    `total` is the number of items of the job; `next` is the position after the last result.
+    """
 
     total: int
     next: int
@@ -54,37 +57,40 @@
 
 
 class JobService:
-    """Keep this node's fold of all jobs current, and answer callers from it."""
+    """Maintains this node's copy of all jobs from the log, and answers callers from it.
+
+    Jobs are split over `partitions` partitions of the log and retained for `retention`.
+    """
 
     def __init__(
         self,
         log: SharedLog,
-        parts: int,
+        partitions: int,
         clock: Clock,
         health: StoreHealth,
         metrics: Metrics,
-        keep: timedelta,
+        retention: timedelta,
     ) -> None:
-        self.book = JobBook(clock, keep)
+        self.book = JobBook(clock, retention)
         self._log = log
         self._clock = clock
         self._health = health
         self._metrics = metrics
-        self._changed: dict[str, asyncio.Event] = {}
+        self._change_events: dict[str, asyncio.Event] = {}
         first_reads = Turns(ReadPace(), clock)
         self.tails = [
             PartitionTail(
                 log,
                 TOPIC_JOBS,
-                part,
+                partition,
                 clock,
                 health,
-                partial(self._take, self.book, part),
+                partial(self._apply_record, self.book, partition),
                 self.book.forget_old,
-                partial(self._on_gap, part),
+                partial(self._on_gap, partition),
                 first_reads,
             )
-            for part in range(parts)
+            for partition in range(partitions)
         ]
         self.knowledge = JobKnowledge(self.tails, clock)
         self._history = PartitionHistory(
@@ -92,38 +98,43 @@
             self.tails,
             clock,
             health,
-            lambda: JobBook(clock, keep),
-            self._take,
-            lambda part, older: self.book.adopt(older, self._in_part(part)),
+            lambda: JobBook(clock, retention),
+            self._apply_record,
+            lambda partition, older_book: self.book.adopt(
+                older_book, self._partition_filter(partition)
+            ),
             first_reads,
         )
-        self.texts = TextLog(log, parts, clock, self.book)
+        self.texts = TextLog(log, partitions, clock, self.book)
         self.book.listen(self._on_change)
 
     @property
     def loaded(self) -> bool:
-        """Tell whether every partition has been read to its end once."""
+        """Return whether every partition has been read to its end at least once."""
         return all(tail.loaded.is_set() for tail in self.tails)
 
-    def begin_at(self, part: int, mark: PartitionMark) -> None:
-        """Begin a partition at its mark; called before its tail runs."""
-        if mark.offset <= self.tails[part].offset:
+    def begin_at(self, partition: int, mark: PartitionMark) -> None:
+        """Start reading a partition at its checkpoint; must be called before its tail runs."""
+        if mark.offset <= self.tails[partition].offset:
             return
-        self.tails[part].offset = mark.offset
+        self.tails[partition].offset = mark.offset
         self.book.close(mark.closed)
-        self._history.begin_behind(part)
+        self._history.begin_behind(partition)
 
-    def mark(self, part: int) -> PartitionMark:
-        """Return where a node that starts now may begin a partition that was read to its end."""
-        return self.book.mark(self.tails[part].offset, self._in_part(part))
+    def mark(self, partition: int) -> PartitionMark:
+        """Return the checkpoint from which a node that starts now may read the partition.
+
+        The partition must have been read to its end.
+        """
+        return self.book.mark(self.tails[partition].offset, self._partition_filter(partition))
 
     async def async_close(self) -> None:
-        """End what reads in the background."""
+        """Cancel background reads."""
         await self._history.async_close()
         await self.texts.async_close()
 
     async def async_submit(self, job: Job) -> Result[None, JobRefused]:
-        """Keep a job for good, or say truly whether it may yet be kept."""
+        """Store a job durably. On failure, the error tells whether the job may still be stored."""
         if job.id in self.book.jobs or self.book.closed(job.id):
             _LOGGER.info("job_known", request_id=job.id)
             return Ok(None)
@@ -133,12 +144,14 @@
             _LOGGER.warning("job_too_long", request_id=job.id)
             self._metrics.refuse(JobProblem.NOT_KEPT.value)
             return Err(JobRefused(JobProblem.NOT_KEPT))
-        for batch in _batches(records):
-            refused = await self._async_keep(job.id, batch, lambda: job.id in self.book.jobs)
-            if refused is not None:
-                self._metrics.refuse(refused.problem.value)
-                _LOGGER.info("job_not_accepted", request_id=job.id, problem=refused.problem)
-                return Err(refused)
+        for batch in _split_batches(records):
+            error = await self._async_append_with_retry(
+                job.id, batch, lambda: job.id in self.book.jobs
+            )
+            if error is not None:
+                self._metrics.refuse(error.problem.value)
+                _LOGGER.info("job_not_accepted", request_id=job.id, problem=error.problem)
+                return Err(error)
         _LOGGER.info(
             "job_accepted",
             request_id=job.id,
@@ -152,7 +165,7 @@
         return Ok(None)
 
     async def async_end(self, job_id: str) -> Result[None, JobRefused]:
-        """Keep for good that a job has ended."""
+        """Record durably that a job has ended."""
         found = await self.async_find(job_id)
         if isinstance(found, Err):
             return Err(found.unwrap_err())
@@ -160,19 +173,23 @@
             return Ok(None)
         state = found.unwrap()
         records = encode_records([JobEnded(job_id)])
-        refused = await self._async_keep(job_id, records, lambda: state.ended)
-        if refused is not None:
-            return Err(refused)
+        error = await self._async_append_with_retry(job_id, records, lambda: state.ended)
+        if error is not None:
+            return Err(error)
         state.ended = True
         self._on_change(state)
         _LOGGER.info("job_ended", request_id=job_id)
         return Ok(None)
 
     async def async_find(self, job_id: str) -> Result[JobState, JobRefused]:
-        """Return a job; that there is none is said only after reading all of the partition."""
+        """Return a job.
+
+        The error is `UNKNOWN_JOB` only if the whole partition has been read, and `NOT_SURE` if the
+        partition cannot be read now or records of the job may be missing.
+        """
         state = self.book.jobs.get(job_id)
         if state is None:
-            read = await self._async_all_read(job_id)
+            read = await self._async_read_whole_partition(job_id)
             state = self.book.jobs.get(job_id)
             if state is None and read:
                 return Err(JobRefused(JobProblem.UNKNOWN_JOB))
@@ -180,78 +197,83 @@
             return Err(JobRefused(JobProblem.NOT_SURE))
         return Ok(state)
 
-    async def _async_all_read(self, job_id: str) -> bool:
-        """Read a job's partition to its end, and what stands before its mark; False if either takes too long."""
-        give_up = self._clock.monotonic() + READ_TIMEOUT
+    async def _async_read_whole_partition(self, job_id: str) -> bool:
+        """Read all of a job's partition, including the records before the checkpoint.
+
+        Return False if this takes longer than `READ_TIMEOUT`.
+        """
+        deadline = self._clock.monotonic() + READ_TIMEOUT
         if not await self._tail(job_id).async_sync(READ_TIMEOUT):
             return False
-        part = partition_of(job_id, len(self.tails))
-        return await self._history.async_whole(part, give_up - self._clock.monotonic())
+        partition = partition_of(job_id, len(self.tails))
+        return await self._history.async_whole(partition, deadline - self._clock.monotonic())
 
     async def async_read(
         self, job_id: str, after: int, wait: timedelta
     ) -> Result[JobPage, JobRefused]:
-        """Return results from a position on, waiting for the first one.
+        """Return the results from a position on, waiting up to `wait` for the first one.
 
-        An empty page is given only after a read to the partition's end: a node that lags would
-        otherwise take back what another one listed.
+        An empty page is returned only after reading to the end of the partition. Otherwise a
+        lagging node would deny results that another node has already listed.
         """
         found = await self.async_find(job_id)
         if isinstance(found, Err):
             return Err(found.unwrap_err())
         state = found.unwrap()
-        give_up = self._clock.monotonic() + wait
+        deadline = self._clock.monotonic() + wait
         while len(state.listed) <= after and state.open:
-            left = give_up - self._clock.monotonic()
-            if left <= timedelta() or not await self._async_changed(job_id, left):
+            remaining = deadline - self._clock.monotonic()
+            if remaining <= timedelta() or not await self._async_wait_for_change(job_id, remaining):
                 break
         complete = len(state.listed) == len(state.head.items)
-        unsure = len(state.listed) <= after and not complete
-        if unsure and not await self._tail(job_id).async_sync(READ_TIMEOUT):
+        may_be_outdated = len(state.listed) <= after and not complete
+        if may_be_outdated and not await self._tail(job_id).async_sync(READ_TIMEOUT):
             return Err(JobRefused(JobProblem.NOT_SURE))
         if state.lacking:
             return Err(JobRefused(JobProblem.NOT_SURE))
-        page = _page(state, after)
+        page = _make_page(state, after)
         if groups := state.groups.newly_read(state.listed, after, page.next):
             _LOGGER.info("groups_read", request_id=job_id, groups=groups, next=page.next)
         return Ok(page)
 
     async def async_record(self, job_id: str, records: list[JobRecord]) -> bool:
-        """Append records about a job; False when it is not sure that they stand."""
-        part = partition_of(job_id, len(self.tails))
-        taken = await self._log.async_append(
-            TOPIC_JOBS, part, encode_records(records), APPEND_TIMEOUT
+        """Append records of a job; return False if it is unknown whether they were stored."""
+        partition = partition_of(job_id, len(self.tails))
+        appended = await self._log.async_append(
+            TOPIC_JOBS, partition, encode_records(records), APPEND_TIMEOUT
         )
-        return isinstance(taken, Ok)
+        return isinstance(appended, Ok)
 
-    async def _async_keep(
-        self, job_id: str, records: list[bytes], stands: Callable[[], bool]
+    async def _async_append_with_retry(
+        self, job_id: str, records: list[bytes], is_stored: Callable[[], bool]
     ) -> JobRefused | None:
-        """Append, and try again what was surely not done; say which of the two it was.
+        """Append records, and retry appends that the store definitely rejected.
 
-        An append without an answer may take effect seconds later, so it is never told as a refusal:
-        the caller would take it as a promise, and the job would run all the same.
+        Return None on success, otherwise whether the records may still be stored. An append without
+        an answer can take effect seconds later, so it is never reported as rejected: the caller
+        would rely on that, and the job would run nevertheless. `is_stored` returns whether the
+        records are found in the log after such an append.
         """
-        part = partition_of(job_id, len(self.tails))
-        give_up = self._clock.monotonic() + ACCEPT_PATIENCE - SETTLE_TIME
-        while (left := give_up - self._clock.monotonic()) > timedelta():
-            taken = await self._log.async_append(TOPIC_JOBS, part, records, left)
-            if isinstance(taken, Ok):
+        partition = partition_of(job_id, len(self.tails))
+        deadline = self._clock.monotonic() + ACCEPT_PATIENCE - SETTLE_TIME
+        while (remaining := deadline - self._clock.monotonic()) > timedelta():
+            appended = await self._log.async_append(TOPIC_JOBS, partition, records, remaining)
+            if isinstance(appended, Ok):
                 return None
-            if taken.unwrap_err().problem is not StoreProblem.REFUSED:
+            if appended.unwrap_err().problem is not StoreProblem.REFUSED:
                 await self._tail(job_id).async_sync(SETTLE_TIME)
-                return None if stands() else self._refusal(JobProblem.MAY_BE_KEPT, job_id)
+                return None if is_stored() else self._make_error(JobProblem.MAY_BE_KEPT, job_id)
             await self._clock.async_sleep(ACCEPT_PAUSE)
-        return self._refusal(JobProblem.NOT_KEPT, job_id)
+        return self._make_error(JobProblem.NOT_KEPT, job_id)
 
-    def _refusal(self, problem: JobProblem, job_id: str) -> JobRefused:
-        """Return a refusal with when to come back, by how long the partition has been out of reach."""
-        known = self._tail(job_id).current_at
-        outage = timedelta() if known is None else self._clock.monotonic() - known
+    def _make_error(self, problem: JobProblem, job_id: str) -> JobRefused:
+        """Return an error with a retry delay that depends on the duration of the outage."""
+        current_at = self._tail(job_id).current_at
+        outage = timedelta() if current_at is None else self._clock.monotonic() - current_at
         return JobRefused(problem, come_back_after(outage))
 
-    async def _async_changed(self, job_id: str, wait: timedelta) -> bool:
-        event = self._changed.setdefault(job_id, asyncio.Event())
+    async def _async_wait_for_change(self, job_id: str, wait: timedelta) -> bool:
+        event = self._change_events.setdefault(job_id, asyncio.Event())
         try:
             async with asyncio.timeout(wait.total_seconds()):
                 await event.wait()
@@ -262,38 +284,39 @@
     def _tail(self, job_id: str) -> PartitionTail:
         return self.tails[partition_of(job_id, len(self.tails))]
 
-    def _in_part(self, part: int) -> Callable[[str], bool]:
-        return lambda job_id: partition_of(job_id, len(self.tails)) == part
+    def _partition_filter(self, partition: int) -> Callable[[str], bool]:
+        return lambda job_id: partition_of(job_id, len(self.tails)) == partition
 
-    def _take(self, book: JobBook, part: int, offset: int, data: bytes) -> None:
-        """Take a record of one partition into a fold of it.
+    def _apply_record(self, book: JobBook, partition: int, offset: int, data: bytes) -> None:
+        """Apply a record of one partition to a job book.
 
-        One about a job of another partition is passed over: nodes read partitions side by side, and two
-        results of an item in two partitions would stand in another order at each node.
+        A record of a job that belongs to another partition is skipped. Nodes read partitions in
+        parallel, so two results of an item in two partitions would be in a different order at each
+        node.
         """
         record = decode_record(data)
         if record is None:
-            self._health.unsound("job_record_unreadable", part=part, offset=offset)
+            self._health.unsound("job_record_unreadable", part=partition, offset=offset)
             return
-        if partition_of(record.job, len(self.tails)) != part:
-            self._health.unsound("job_record_misplaced", part=part, offset=offset)
+        if partition_of(record.job, len(self.tails)) != partition:
+            self._health.unsound("job_record_misplaced", part=partition, offset=offset)
             return
-        taken = book.apply(record, offset)
-        if isinstance(taken, Err):
-            detail = taken.unwrap_err()
-            self._health.unsound("job_record_unsound", part=part, offset=offset, detail=detail)
+        applied = book.apply(record, offset)
+        if isinstance(applied, Err):
+            detail = applied.unwrap_err()
+            self._health.unsound("job_record_unsound", part=partition, offset=offset, detail=detail)
 
-    def _on_gap(self, part: int) -> None:
-        self.book.miss_records(self._in_part(part))
+    def _on_gap(self, partition: int) -> None:
+        self.book.miss_records(self._partition_filter(partition))
 
     def _on_change(self, state: JobState) -> None:
-        event = self._changed.pop(state.head.id, None)
+        event = self._change_events.pop(state.head.id, None)
         if event is not None:
             event.set()
 
 
-def _batches(records: list[bytes]) -> Iterator[list[bytes]]:
-    """Cut records into calls that the store takes."""
+def _split_batches(records: list[bytes]) -> Iterator[list[bytes]]:
+    """Split records into batches that do not exceed the store's call size."""
     batch: list[bytes] = []
     size = 0
     for record in records:
@@ -306,7 +329,7 @@
         yield batch
 
 
-def _page(state: JobState, after: int) -> JobPage:
+def _make_page(state: JobState, after: int) -> JobPage:
     results: list[tuple[ItemHead, ItemResult]] = []
     size = 0
     for index, listed in state.listed[after:]:
--- a/cranberryline/jobs/sink.py
+++ b/cranberryline/jobs/sink.py
@@ -1,4 +1,4 @@
-"""Take the answer of an engine that makes an item's text."""
+"""Processes the response stream of an engine that generates the text of an item."""
 
 from datetime import timedelta
 
@@ -6,121 +6,128 @@
 from cranberryline.dispatch.model import AnswerSink
 
 from .events import EventReader, ItemText
+from .item_context import ItemContext
 from .phases import ItemPhases
 from .state import JobState
-from .tools import ItemTools
 
-__all__ = ["STALLED", "STATUS_OK", "TextSink"]
+__all__ = ["STALL_TIMEOUT", "STATUS_OK", "TextSink"]
 
 STATUS_OK = 200
-STALLED = timedelta(seconds=5)
-# More than all engines of the design size.
-_HEARD_KEPT = 10_000
+STALL_TIMEOUT = timedelta(seconds=5)
+# More than the number of engines of the largest supported site.
+_MAX_TRACKED_UPSTREAMS = 10_000
 
 
 class TextSink(AnswerSink):
-    """Take an item's events as they come, and leave an answer that cannot be used."""
+    """Collects the events of an item, and aborts a response that cannot be used."""
 
     def __init__(
         self,
-        tools: ItemTools,
+        context: ItemContext,
         state: JobState,
         text: ItemText,
         phases: ItemPhases,
         single_version: bool,
     ) -> None:
-        self._tools = tools
+        self._context = context
         self._state = state
         self._text = text
         self._phases = phases
         self._single_version = single_version
-        self._reader = EventReader(tools.edge.version_field)
+        self._reader = EventReader(context.edge.version_field)
         self._version: int | None = None
         self.status = 0
         self.upstream = ""
-        self.unusable = ""
-        self.moved_at: timedelta | None = None
-        self._event_at: timedelta | None = None
+        self.abort_reason = ""
+        self.last_received_at: timedelta | None = None
+        self._last_event_at: timedelta | None = None
 
-    def _note_moved(self) -> None:
-        self.moved_at = self._tools.clock.monotonic()
-        self._tools.heard[self.upstream] = self.moved_at
+    def _record_received(self) -> None:
+        self.last_received_at = self._context.clock.monotonic()
+        self._context.last_received_at[self.upstream] = self.last_received_at
 
     @property
-    def whole(self) -> bool:
-        """Tell whether the stream ended behind a whole event."""
+    def complete(self) -> bool:
+        """Return whether the stream ended after a complete event."""
         return self._reader.clean
 
     def dispatched(self, upstream: str) -> None:
-        """Note which upstream works now, and start its time."""
+        """Record the upstream of the request, and start its silence timeout."""
         self.upstream = upstream
-        self.moved_at = self._tools.clock.monotonic()
-        self._phases.dispatched(self.moved_at, upstream, len(self._text.events))
-        heard = self._tools.heard
-        if len(heard) > _HEARD_KEPT:
-            # By starts, of which there are more each day: a stall asks about the last seconds only.
-            for key in [key for key, at in heard.items() if self.moved_at - at > STALLED]:
-                del heard[key]
+        self.last_received_at = self._context.clock.monotonic()
+        self._phases.dispatched(self.last_received_at, upstream, len(self._text.events))
+        last_received = self._context.last_received_at
+        if len(last_received) > _MAX_TRACKED_UPSTREAMS:
+            # Keys are engine starts, whose number grows over time. Stall detection needs only
+            # recent entries.
+            for key in [
+                key
+                for key, at in last_received.items()
+                if self.last_received_at - at > STALL_TIMEOUT
+            ]:
+                del last_received[key]
 
     async def async_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> bool:
-        """Take the status, and the version that the upstream starts with.
+        """Process the status and the model version that the upstream starts with.
 
-        Asked to go on behind the last event of a text, an upstream makes nothing, so it names no version: the text
-        was whole already, and its run broke before its end was told. Taken for a bad answer, the item
-        asked one engine after the other until its step ran out of time.
+        A response without a version is valid if the text already has events: when a request resumes
+        after the last event of a text, the upstream generates nothing and sends no version. This
+        happens when the previous request broke after the last event but before the end of the
+        stream. Rejecting such a response would retry the item at one engine after the other until
+        its step times out.
         """
         self.status = status
-        self._note_moved()
-        self._reader = EventReader(self._tools.edge.version_field)
+        self._record_received()
+        self._reader = EventReader(self._context.edge.version_field)
         if status != STATUS_OK:
             return False
-        self._version = self._tools.edge.answer_head(headers).version
+        self._version = self._context.edge.answer_head(headers).version
         if self._version is None and not self._text.events:
-            self._leave("no_version")
+            self._abort("no_version")
         self._check_version()
         return True
 
     async def async_chunk(self, data: bytes, last: bool = False) -> None:
-        """Take what is whole of the events."""
-        self._note_moved()
+        """Process the complete events of a chunk."""
+        self._record_received()
         if self.status != STATUS_OK:
             return
         try:
             events = self._reader.feed(data)
         except ValueError:
-            self._leave("bad_event")
-        if events and self.moved_at is not None:
-            self._phases.heard(self.moved_at)
-            self._note_pace(len(events), self.moved_at)
+            self._abort("bad_event")
+        if events and self.last_received_at is not None:
+            self._phases.events_received(self.last_received_at)
+            self._record_pace(len(events), self.last_received_at)
         for event in events:
             if event.version is not None:
                 self._version = event.version
                 self._check_version()
             if self._version is None:
-                self._leave("no_version")
+                self._abort("no_version")
             elif not self._text.add(event, self._version):
-                self._leave("event_out_of_order")
+                self._abort("event_out_of_order")
 
-    def _note_pace(self, events: int, now: timedelta) -> None:
-        """Count events after the first of a run, which may have waited for its place."""
-        if self._event_at is not None:
-            self._tools.paces.heard(self.upstream, events, now - self._event_at, now)
-        self._event_at = now
+    def _record_pace(self, events: int, now: timedelta) -> None:
+        """Record the pace of events, except the first of a request, which may have been queued."""
+        if self._last_event_at is not None:
+            self._context.paces.heard(self.upstream, events, now - self._last_event_at, now)
+        self._last_event_at = now
 
     def _check_version(self) -> None:
         version = self._version
         if version is None:
             return
-        self._tools.versions.learn(self.upstream, self._state.job.model, version)
-        oldest = self._state.job.min_version
-        if oldest is not None and version < oldest:
-            self._leave("stale_version")
+        self._context.versions.learn(self.upstream, self._state.job.model, version)
+        min_version = self._state.job.min_version
+        if min_version is not None and version < min_version:
+            self._abort("stale_version")
         if self._single_version and any(known != version for known in self._text.versions):
             self._text.clear()
-            self._phases.thrown_away()
-            self._leave("version_changed")
+            self._phases.events_discarded()
+            self._abort("version_changed")
 
-    def _leave(self, reason: str) -> None:
-        """Stop the run: what comes would not be kept."""
-        self.unusable = reason
+    def _abort(self, reason: str) -> None:
+        """Abort the request, since the rest of its response cannot be used."""
+        self.abort_reason = reason
         raise CallerLeft
--- a/cranberryline/jobs/turns.py
+++ b/cranberryline/jobs/turns.py
@@ -1,4 +1,4 @@
-"""Let few reads begin at a time, as many as are answered quickly."""
+"""Limits concurrent reads of the log to as many as the store answers quickly."""
 
 import asyncio
 from datetime import timedelta
@@ -14,47 +14,52 @@
 
 
 class Turns(ReadTurns):
-    """Make reads at the pace of `ReadPace`; one that takes longer than a turn goes on, and lets the next one begin."""
+    """Runs reads with the concurrency and timeouts of `ReadPace`.
+
+    A read that takes longer than its turn continues, but no longer counts towards the limit.
+    """
 
     def __init__(self, pace: ReadPace, clock: Clock) -> None:
         self._pace = pace
         self._clock = clock
-        self._under_way = 0
+        self._active_turns = 0
         self._changed = asyncio.Event()
 
     async def async_run(self, read: TimedRead) -> Result[LogRead, StoreError]:
-        """Make a read in its turn; it is given the time that it may take."""
-        await self._async_turn()
-        began = self._clock.monotonic()
+        """Wait for a turn, then run the read with the current read timeout."""
+        await self._async_acquire_turn()
+        began_at = self._clock.monotonic()
         task = asyncio.ensure_future(read(self._pace.patience))
         try:
-            await self._async_out_of_turn(task)
+            await self._async_release_turn(task)
             answer = await task
         finally:
             task.cancel()
-        self._note(answer, self._clock.monotonic() - began)
+        self._record(answer, self._clock.monotonic() - began_at)
         return answer
 
-    async def _async_out_of_turn(self, task: "asyncio.Future[Result[LogRead, StoreError]]") -> None:
-        """Wait until a read is done or its turn is over, and let the next one begin."""
+    async def _async_release_turn(
+        self, task: "asyncio.Future[Result[LogRead, StoreError]]"
+    ) -> None:
+        """Wait until a read is done or its turn is over, then free its turn."""
         try:
             await asyncio.wait((task,), timeout=self._pace.turn.total_seconds())
         finally:
-            self._under_way -= 1
-            self._tell()
+            self._active_turns -= 1
+            self._notify()
 
-    async def _async_turn(self) -> None:
-        while self._under_way >= self._pace.at_once:
+    async def _async_acquire_turn(self) -> None:
+        while self._active_turns >= self._pace.at_once:
             await self._changed.wait()
-        self._under_way += 1
+        self._active_turns += 1
 
-    def _note(self, answer: Result[LogRead, StoreError], took: timedelta) -> None:
+    def _record(self, answer: Result[LogRead, StoreError], duration: timedelta) -> None:
         if not isinstance(answer, Err):
-            self._pace.answered(took)
+            self._pace.answered(duration)
         elif answer.unwrap_err().problem is StoreProblem.UNKNOWN:
             self._pace.unanswered()
-        self._tell()
+        self._notify()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
--- a/tests/jobs/engine_scene.py
+++ b/tests/jobs/engine_harness.py
@@ -1,4 +1,4 @@
-"""A gateway's directory, its ways to engines and the runs of items, in virtual time."""
+"""Test harness that runs items on fake engines through a gateway's directory, in virtual time."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -18,10 +18,10 @@
 from cranberryline.helpers.tail import StoreHealth
 from cranberryline.jobs.book import JobState
 from cranberryline.jobs.item import ItemRun
+from cranberryline.jobs.item_context import ItemContext
 from cranberryline.jobs.model import Item, ItemResult, ItemState, Job
 from cranberryline.jobs.ports import AnswerHead
-from cranberryline.jobs.scoring import ScoringPlaces
-from cranberryline.jobs.tools import ItemTools
+from cranberryline.jobs.scoring import ScoringSlots
 from cranberryline.ports.errors import PlatformError
 from cranberryline.ports.model import (
     PlainServicePort,
@@ -42,9 +42,11 @@
 
 @attrs.define
 class FakeEngine(PlainServicePort):
-    """One start of an engine; it falls silent for `silent_s` behind the event `stop_at`.
+    """One start of an engine.
 
-    It makes an event each `event_s`, which a test may change while texts run, of `events` in all.
+    It generates `events` events at an interval of `event_s` seconds, which a test may change during
+    a request. After the event `stop_at` it is silent for `silent_s` seconds. `requests` has the
+    time of each request and the event after which it resumed; `closed` counts closed responses.
     """
 
     version: int = 1
@@ -52,50 +54,50 @@
     silent_s: float = 60.0
     event_s: float = 0.02
     events: int = EVENTS
-    asked: list[tuple[float, int]] = attrs.field(factory=list)
+    requests: list[tuple[float, int]] = attrs.field(factory=list)
     closed: int = 0
 
     async def async_send(
         self, req: UpstreamRequest, timeout: timedelta
     ) -> Result[UpstreamBody, PlatformError]:
-        """Answer with the events behind the one that was asked for."""
-        last = int(dict(req.headers).get("last", "0"))
-        self.asked.append((asyncio.get_running_loop().time(), last))
+        """Answer with the events after the requested one."""
+        last_event = int(dict(req.headers).get("last", "0"))
+        self.requests.append((asyncio.get_running_loop().time(), last_event))
         await asyncio.sleep(0.01)
-        return Ok(_Text(self, last))
+        return Ok(_EventBody(self, last_event))
 
 
-class _Text(UpstreamBody):
-    def __init__(self, engine: FakeEngine, last: int) -> None:
+class _EventBody(UpstreamBody):
+    def __init__(self, engine: FakeEngine, last_event: int) -> None:
         self._engine = engine
-        self._last = last
+        self._last_event = last_event
 
     @property
     def head(self) -> UpstreamHead:
-        """Return the version that the text begins with; none is named where nothing is left to make."""
-        if self._last >= self._engine.events:
+        """Return the version that the text starts with; there is none if no events are left."""
+        if self._last_event >= self._engine.events:
             return UpstreamHead(200, ())
         return UpstreamHead(200, (("version", str(self._engine.version)),))
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the events behind the one that was asked for."""
-        for number in range(self._last + 1, self._engine.events + 1):
-            silent = self._engine.event_s
+        """Yield the events after the requested one."""
+        for number in range(self._last_event + 1, self._engine.events + 1):
+            delay = self._engine.event_s
             if number == self._engine.stop_at + 1:
-                silent = self._engine.silent_s
-            await asyncio.sleep(silent)
+                delay = self._engine.silent_s
+            await asyncio.sleep(delay)
             yield f"id: {number}\ndata: v{self._engine.version}.{number}\n\n".encode()
 
-        if self._engine.stop_at == self._engine.events > self._last:
+        if self._engine.stop_at == self._engine.events > self._last_event:
             await asyncio.sleep(self._engine.silent_s)
 
     async def async_close(self) -> None:
-        """Count what was let go of."""
+        """Count closed responses."""
         self._engine.closed += 1
 
 
-class Scene:
-    """A gateway's directory, its ways to engines and an item's run."""
+class EngineHarness:
+    """A gateway's directory and dispatcher with connections to fake engines, for running items."""
 
     def __init__(self) -> None:
         clock, metrics, table = LoopClock(), Metrics(), PeerTable()
@@ -122,7 +124,7 @@
         self.directory.membership.listen(on_members)
         self.directory.listen_over(directs.end)
         self.directory.listen(lambda row: routes.set_slots(row.service, row.slots))
-        self.tools = ItemTools(
+        self.context = ItemContext(
             cast(Any, make_routes()),
             self.dispatcher,
             cast(Any, _edge()),
@@ -130,16 +132,18 @@
             clock,
             metrics,
             Random(1),
-            ScoringPlaces(self.dispatcher.places),
+            ScoringSlots(self.dispatcher.places),
             lambda _item: None,
             cast(Any, SimpleNamespace(suffices=lambda _job: True, age=lambda _job: timedelta())),
         )
 
     def add(self, row: Registration, **engine: Any) -> FakeEngine:
-        """Let a start of an engine register."""
-        made = self.engines[row.key] = FakeEngine(version=row.versions.get(MODEL, 1), **engine)
+        """Register a new start of an engine."""
+        fake_engine = self.engines[row.key] = FakeEngine(
+            version=row.versions.get(MODEL, 1), **engine
+        )
         self.directory.put(row).unwrap()
-        return made
+        return fake_engine
 
     def _wake(self) -> None:
         self.dispatcher.wake()
@@ -147,14 +151,14 @@
     def _connect(self, row: VmEntry) -> PlainServicePort:
         return self.engines[row.id]
 
-    async def async_item(
+    async def async_run_item(
         self, min_version: int = 1, name: str = "item-1", told_tokens: int = 0
     ) -> ItemResult:
-        """Run an item to its end."""
+        """Run an item until it is completed, and return its result."""
         item = Item(name, "/p/x", (), b"b", 10, "g0", told_tokens=told_tokens)
         job = Job("j1", "h.example", "/p/1", (item,), 0.0, MODEL, 1, min_version, 1)
         state = JobState.of(job, timedelta())
-        result = await ItemRun(self.tools, state, 0).async_run()
+        result = await ItemRun(self.context, state, 0).async_run()
         assert result is not None and result.state is ItemState.COMPLETED
         return result
 
@@ -165,8 +169,8 @@
 
 
 def _edge() -> SimpleNamespace:
-    def headers(_job: Job, _item: Item, last: int | None) -> tuple[tuple[str, str], ...]:
-        return () if last is None else (("last", str(last)),)
+    def headers(_job: Job, _item: Item, last_event: int | None) -> tuple[tuple[str, str], ...]:
+        return () if last_event is None else (("last", str(last_event)),)
 
     return SimpleNamespace(
         version_field="version",
@@ -175,6 +179,6 @@
     )
 
 
-def next_start(row: Registration, **change: Any) -> Registration:
-    """Return the registration of an engine's next start."""
+def make_next_start(row: Registration, **change: Any) -> Registration:
+    """Return the registration of an engine after a restart."""
     return attrs.evolve(row, born=row.born + 100, **change)
--- a/tests/jobs/gateway_fake.py
+++ b/tests/jobs/gateway_fake.py
@@ -1,4 +1,4 @@
-"""A gateway's jobs and its runner before one engine, in virtual time, with peers in this process."""
+"""Fake gateway with one engine in virtual time, whose peers are in the same process."""
 
 import asyncio
 from collections.abc import Mapping
@@ -25,16 +25,18 @@
 from tests.virtual_time import LoopClock
 
 CANCEL_BOUND = 3.0
-SIGN_INTERVAL = 0.8
-SIGN_TIMEOUT = timedelta(seconds=0.9)
-_REFUSED = Refusal(RefusalReason.NO_UPSTREAM)
+HEARTBEAT_INTERVAL = 0.8
+HEARTBEAT_TIMEOUT = timedelta(seconds=0.9)
+_NO_UPSTREAM = Refusal(RefusalReason.NO_UPSTREAM)
 _BROKEN = Refusal(RefusalReason.UPSTREAM_FAILED, ran=Ran.UNKNOWN)
 
 
 class OneEngine:
-    """Stands for the dispatcher: a request waits `queued` seconds for its place, then runs `takes`.
+    """Replaces the dispatcher.
 
-    Runs break off, but for the first `whole`; `reached` has the moment at which each got to the engine.
+    A request is queued for `queued` seconds and then runs for `takes` seconds. Only the first
+    `whole` requests complete, all others break. `reached` has the time at which each request
+    reached the engine.
     """
 
     def __init__(self, queued: float = 0.0, takes: float = 0.3, whole: int = 0) -> None:
@@ -46,18 +48,18 @@
     version = 1
 
     def places(self, _service: str) -> int:
-        """Return the places of the service."""
+        """Return the number of slots of the service."""
         return 4
 
     def with_room(self, _service: str) -> list[str]:
-        """Return the engines that have a place."""
+        """Return the engines that have a free slot."""
         return ["engine-1"]
 
     async def async_run(self, req: CallerRequest, sink: AnswerSink) -> Result[str, Refusal]:
-        """Let the request reach the engine, if it may still go there when its turn comes."""
+        """Send the request to the engine, if that is still allowed after its time in the queue."""
         await asyncio.sleep(self.queued)
         if req.eligible is not None and not req.eligible("engine-1"):
-            return Err(_REFUSED)
+            return Err(_NO_UPSTREAM)
         self.reached.append(asyncio.get_running_loop().time())
         sink.dispatched("engine-1")
         whole, self.whole = self.whole, max(0, self.whole - 1)
@@ -70,14 +72,14 @@
 
 
 def make_open_job(scored: bool = False, min_version: int = 1, name: str = "job-1") -> Job:
-    """Return a job of one item."""
+    """Return a job with one item."""
     scorer = Scorer("score-1", "host.example", "/s/1", b"") if scored else None
     item = Item("item-1", "/p/x", (), b"b", 10, "g0", scorer)
     return Job(name, "host.example", "/p/1", (item,), 0.0, "model", 1, min_version, 1)
 
 
 def make_routes() -> SimpleNamespace:
-    """Return a table with one route for everything."""
+    """Return a route table with one route that matches every path."""
     route = SimpleNamespace(
         single_version=False,
         max_wait=None,
@@ -91,20 +93,22 @@
 def _edge() -> SimpleNamespace:
     return SimpleNamespace(
         version_field="version",
-        item_headers=lambda _job, _item, last: () if last is None else (("last", str(last)),),
+        item_headers=lambda _job, _item, last_event: (
+            () if last_event is None else (("last", str(last_event)),)
+        ),
         scorer_headers=lambda _scorer: (),
         answer_head=lambda headers: AnswerHead("", int(dict(headers)["version"])),
     )
 
 
-class ReadsFail(StoreLink):
-    """A way to a store that takes appends, and whose reads are turned away or too slow when asked for."""
+class FailingReadsLink(StoreLink):
+    """A connection to a store that accepts appends, while reads can be rejected or time out."""
 
     turned_away = False
     too_slow = False
 
     async def async_read(self, *args: Any, **more: Any) -> Result[LogRead, StoreError]:
-        """Read, unless reads are what the store cannot serve now."""
+        """Read, unless reads are set to fail."""
         if self.turned_away:
             return Err(StoreError(StoreProblem.REFUSED, "status 429"))
         if self.too_slow:
@@ -113,7 +117,7 @@
 
 
 class _Log(RelayedLog):
-    """A way to the store whose peers are in this process; `deaf` hears none of them."""
+    """A store connection with peers in this process; `deaf` makes all calls to peers fail."""
 
     def __init__(self, link: StoreLink, others: Mapping[str, "_Log"]) -> None:
         super().__init__(link, lambda: list(others), LoopClock(), Metrics())
@@ -132,30 +136,30 @@
 
 
 class Node:
-    """A gateway as others see it: it writes signs of life, and calls the store for those who cannot.
+    """A gateway as its peers see it: it writes heartbeats, and relays store calls for its peers.
 
-    It follows the partition of jobs too, and so learns that the store has fallen silent.
+    It also follows the partition of jobs, and so detects that the store does not respond.
     """
 
     def __init__(self, store: FakeStore, peers: Mapping[str, "Node"] | None = None) -> None:
-        self.link = ReadsFail(store)
+        self.link = FailingReadsLink(store)
         self.log = _Log(self.link, {name: node.log for name, node in (peers or {}).items()})
         clock, metrics = LoopClock(), Metrics()
         health, keep = StoreHealth(clock), timedelta(seconds=180)
         self.jobs = JobService(self.log, 1, clock, health, metrics, keep)
         self.tasks = [
-            asyncio.ensure_future(self._async_signs()),
+            asyncio.ensure_future(self._async_send_heartbeats()),
             asyncio.ensure_future(self.jobs.tails[0].async_run()),
         ]
 
-    async def _async_signs(self) -> None:
+    async def _async_send_heartbeats(self) -> None:
         while True:
-            await self.log.async_append("keyed.nodes", 0, [b"sign"], SIGN_TIMEOUT)
-            await asyncio.sleep(SIGN_INTERVAL)
+            await self.log.async_append("keyed.nodes", 0, [b"sign"], HEARTBEAT_TIMEOUT)
+            await asyncio.sleep(HEARTBEAT_INTERVAL)
 
 
 class Gateway(Node):
-    """A gateway's fold of jobs and its runner, before one engine."""
+    """A gateway's job service and job runner, with one engine."""
 
     def __init__(
         self,
@@ -185,32 +189,35 @@
         self.tasks.append(asyncio.ensure_future(self.runner.async_run()))
 
     def cut_off(self) -> None:
-        """Cut this gateway off from the store and from its peers."""
+        """Disconnect this gateway from the store and from its peers."""
         self.link.silent = True
         self.log.deaf = True
 
 
 @attrs.define
 class Ended:
-    """A store with one job, and when its end got there."""
+    """A store with one job, and the time at which the end of the job was recorded."""
 
     store: FakeStore
     at: float = 0.0
 
     def end(self) -> None:
-        """Let another gateway record the end."""
+        """Record the end of the job, as another gateway would."""
         self.at = asyncio.get_running_loop().time()
         self.store.append("jobs", 0, encode_records([JobEnded("job-1")]))
 
     def late(self, engine: OneEngine) -> list[float]:
-        """Return what reached the engine later than a trainer has to bear."""
-        return [moment for moment in engine.reached if moment > self.at + CANCEL_BOUND]
+        """Return when requests reached the engine later than `CANCEL_BOUND` after the end."""
+        return [request_at for request_at in engine.reached if request_at > self.at + CANCEL_BOUND]
 
 
 def make_store(
     scored: bool = False, min_version: int = 1, kept: bool = False, versions: tuple[int, ...] = (1,)
 ) -> FakeStore:
-    """Return a store with that job; `kept` puts before it an ended one that kept 40 events of the item."""
+    """Return a store with that job.
+
+    With `kept`, the log also has an earlier, ended job that stored 40 events of the same item.
+    """
     store = FakeStore()
     if kept:
         store.append("jobs", 0, encode_records(encode_job(make_open_job(name="job-0"), "w")))
--- a/tests/jobs/test_events.py
+++ b/tests/jobs/test_events.py
@@ -1,4 +1,4 @@
-"""Events of an item's stream, cut anywhere."""
+"""Tests parsing of an item's event stream that is split at arbitrary positions."""
 
 import pytest
 from hypothesis import given
@@ -14,35 +14,35 @@
 )
 
 
-def _read(parts: list[bytes]) -> list[tuple[int, str, int | None]]:
+def _read(chunks: list[bytes]) -> list[tuple[int, str, int | None]]:
     reader = EventReader(FIELD)
-    return [(e.id, e.data, e.version) for part in parts for e in reader.feed(part)]
+    return [(e.id, e.data, e.version) for chunk in chunks for e in reader.feed(chunk)]
 
 
 @given(st.lists(st.integers(0, len(STREAM) - 30), max_size=6))
-def test_events_do_not_depend_on_where_the_bytes_are_cut(cuts: list[int]) -> None:
-    """However the stream comes in, the same events come out."""
-    edges = sorted({0, len(STREAM), *cuts})
-    parts = [STREAM[a:b] for a, b in zip(edges, edges[1:], strict=False)]
-    assert _read(parts) == [(1, "a", None), (2, "b\nc", 7), (3, "d", None)]
+def test_parsed_events_do_not_depend_on_chunk_boundaries(split_positions: list[int]) -> None:
+    """An event that is split over several chunks must be parsed like an unsplit one."""
+    boundaries = sorted({0, len(STREAM), *split_positions})
+    chunks = [STREAM[a:b] for a, b in zip(boundaries, boundaries[1:], strict=False)]
+    assert _read(chunks) == [(1, "a", None), (2, "b\nc", 7), (3, "d", None)]
 
 
-def test_an_event_broken_off_in_the_middle_is_not_had() -> None:
-    """The reader says that something is left over."""
+def test_incomplete_event_is_not_returned() -> None:
+    """The reader must report that its buffer contains an incomplete event."""
     reader = EventReader(FIELD)
     assert [event.id for event in reader.feed(STREAM[:20])] == [1]
     assert not reader.clean
 
 
-@pytest.mark.parametrize("bad", [b"data: x\n\n", b"id: x\n\n", b"id: 1\ndata: \xff\n\n"])
-def test_what_is_no_event_raises(bad: bytes) -> None:
-    """The run is left then; nothing of it is kept."""
+@pytest.mark.parametrize("malformed", [b"data: x\n\n", b"id: x\n\n", b"id: 1\ndata: \xff\n\n"])
+def test_malformed_event_raises(malformed: bytes) -> None:
+    """A malformed event must raise, so that the request is aborted and the event is not kept."""
     with pytest.raises(ValueError):
-        EventReader(FIELD).feed(bad)
+        EventReader(FIELD).feed(malformed)
 
 
-def test_a_text_takes_each_event_once_and_in_order() -> None:
-    """A gap or a repeat is refused, and the versions are those that made an event."""
+def test_text_accepts_each_event_once_and_in_order() -> None:
+    """Gaps and repeated events must be rejected; only versions of accepted events are listed."""
     text = ItemText()
     assert text.add(Event(1, "a"), 6)
     assert text.add(Event(2, "b"), 7)
--- a/tests/jobs/test_elsewhere.py
+++ b/tests/jobs/test_failing_engines.py
@@ -1,4 +1,4 @@
-"""An item that engines spoil reaches the one that does not."""
+"""Tests that an item which fails at some engines is sent to the remaining one."""
 
 import asyncio
 from datetime import timedelta
@@ -21,31 +21,31 @@
 
 
 class ThreeEngines:
-    """Stands for the dispatcher: the first engine that is not avoided is chosen, the last one works."""
+    """Replaces the dispatcher; chooses the first engine not avoided. Only the last one works."""
 
     engines = ("u1", "u2", "u3")
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.requested: list[str] = []
 
     def places(self, _service: str) -> int:
-        """Return the places of the service."""
+        """Return the number of slots of the service."""
         return 4
 
     async def async_run(self, req: CallerRequest, sink: AnswerSink) -> Result[str, Refusal]:
-        """Answer 500 at all engines but the last."""
-        free = [engine for engine in self.engines if engine not in req.avoid] or self.engines
-        self.asked.append(free[0])
-        sink.dispatched(free[0])
+        """Answer with status 500 at all engines except the last one."""
+        candidates = [engine for engine in self.engines if engine not in req.avoid] or self.engines
+        self.requested.append(candidates[0])
+        sink.dispatched(candidates[0])
         await asyncio.sleep(0.05)
-        if req.eligible is not None and not req.eligible(free[0]):
+        if req.eligible is not None and not req.eligible(candidates[0]):
             return Err(Refusal(RefusalReason.NO_UPSTREAM, Ran.NO))
-        if free[0] != self.engines[-1]:
+        if candidates[0] != self.engines[-1]:
             await sink.async_head(500, ())
-            return Ok(free[0])
+            return Ok(candidates[0])
         await sink.async_head(200, (("version", "1"),))
         await sink.async_chunk(b"id: 1\ndata: a\n\n", last=True)
-        return Ok(free[0])
+        return Ok(candidates[0])
 
 
 def _make_parts(jobs: JobService, engines: ThreeEngines, clock: LoopClock) -> RunnerParts:
@@ -64,18 +64,19 @@
     versions = SimpleNamespace(version=lambda _up, _model: 1, learn=lambda *_: None)
     table = SimpleNamespace(match=lambda _host, _path: route)
     stubs = (SimpleNamespace(table=table), engines, edge, versions)
-    ports = [cast(Any, stub) for stub in stubs]
-    return RunnerParts(jobs, *ports, clock, Metrics(), "front-1", lambda _since: ["front-1"])
+    dependencies = [cast(Any, stub) for stub in stubs]
+    return RunnerParts(jobs, *dependencies, clock, Metrics(), "front-1", lambda _since: ["front-1"])
 
 
-def test_an_item_does_not_go_to_and_fro_between_two_engines_that_fail() -> None:
-    """Two of three engines answer each run with 500, and the item's prefix lies with them.
+def test_item_does_not_alternate_between_two_failing_engines() -> None:
+    """Two of three engines answer every request with 500, and prefix affinity prefers them.
 
-    Avoiding the last one alone, the item went back to the first on its third run, had the three
-    answers of 500 that its route allows, and was listed as dead though the third engine was sound.
+    If only the last failed engine was avoided, the third request would go to the first engine
+    again. After the three attempts that its route allows, the item would be listed as dead although
+    the third engine works.
     """
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store, engines, clock = FakeStore(), ThreeEngines(), LoopClock()
         item = Item("item-1", "/p/x", (), b"b", 10, "g0")
         job = Job("job-1", "host.example", "/p/1", (item,), 0.0, "model", 1, 1, 1)
@@ -84,13 +85,14 @@
         jobs = JobService(StoreLink(store), 1, clock, health, Metrics(), keep)
         runner = JobRunner(_make_parts(jobs, engines, clock))
         tasks = [
-            asyncio.ensure_future(part) for part in (jobs.tails[0].async_run(), runner.async_run())
+            asyncio.ensure_future(loop_coroutine)
+            for loop_coroutine in (jobs.tails[0].async_run(), runner.async_run())
         ]
         await asyncio.sleep(5)
         results = jobs.book.jobs["job-1"].results
         assert [result.state for _, result in results] == [ItemState.COMPLETED]
-        assert engines.asked == ["u1", "u2", "u3"]
+        assert engines.requested == ["u1", "u2", "u3"]
         for task in tasks:
             task.cancel()
 
-    run_virtual(scene())
+    run_virtual(scenario())
--- a/tests/jobs/test_restarted_engine.py
+++ b/tests/jobs/test_restarted_engine.py
@@ -1,9 +1,9 @@
-"""An item at an engine that starts again under its id, in the middle of the item's text.
+"""Items whose engine restarts under the same id while it generates the item's text.
 
-The machine lost power: the connection to its former start stays open and says nothing, or says
-something late. The trainer sees a text that stands still until a time limit, a text with a hole or with an
-event twice, or one made by a version that the engine no longer has. Decided with the engine's next
-entry, the item goes on behind its last whole event, here or elsewhere.
+After a power failure the connection to the previous start stays open, and is silent or delivers
+late events. The text would stall until a timeout, lack or repeat events, or have a version that the
+engine no longer serves. When the restarted engine registers, the item must resume after its last
+complete event.
 """
 
 import asyncio
@@ -11,89 +11,93 @@
 
 import attrs
 
-from tests.jobs.engine_scene import FIRST, MODEL, Scene, next_start
+from tests.jobs.engine_harness import FIRST, MODEL, EngineHarness, make_next_start
 from tests.virtual_time import run_virtual
 
 
-def test_the_item_goes_on_elsewhere_at_once_behind_its_last_event() -> None:
-    """The engine's next start drains already, so it is not the one; another has room."""
+def test_item_resumes_at_another_engine_without_waiting_for_a_timeout() -> None:
+    """The restarted engine is draining, so the item has to resume at another engine."""
 
-    async def scene() -> None:
-        made = Scene()
-        former = made.add(FIRST, stop_at=2)
-        asked = asyncio.ensure_future(made.async_item())
+    async def scenario() -> None:
+        harness = EngineHarness()
+        previous = harness.add(FIRST, stop_at=2)
+        item_task = asyncio.ensure_future(harness.async_run_item())
         await asyncio.sleep(0.3)
-        other = made.add(attrs.evolve(FIRST, id="e-2"))
-        made.add(next_start(FIRST, draining=True))
-        result = await asked
+        other = harness.add(attrs.evolve(FIRST, id="e-2"))
+        harness.add(make_next_start(FIRST, draining=True))
+        result = await item_task
         assert result.text == "v1.1\nv1.2\nv1.3\nv1.4"
-        ((at, last),) = other.asked
-        assert last == 2 and at < 0.5
-        assert (len(former.asked), former.closed > 0) == (1, True)
+        ((at, last_event),) = other.requests
+        assert last_event == 2 and at < 0.5
+        assert (len(previous.requests), previous.closed > 0) == (1, True)
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_the_item_goes_on_at_the_new_start_which_owes_nothing_for_the_former_one() -> None:
-    """It is the only engine. Neither the item's avoidance of the former start nor a rest holds it up."""
+def test_restarted_engine_does_not_inherit_avoidance_and_cooldown() -> None:
+    """The restarted engine is the only one.
 
-    async def scene() -> None:
-        made = Scene()
-        made.add(FIRST, stop_at=2)
-        asked = asyncio.ensure_future(made.async_item())
+    Neither the item's avoidance of the previous start nor its cooldown after a rejection may delay
+    it.
+    """
+
+    async def scenario() -> None:
+        harness = EngineHarness()
+        harness.add(FIRST, stop_at=2)
+        item_task = asyncio.ensure_future(harness.async_run_item())
         await asyncio.sleep(0.3)
-        made.tools.turned_away.note(FIRST.key, made.tools.clock.monotonic())
-        again = made.add(next_start(FIRST))
-        result = await asked
+        harness.context.rejecting_upstreams.note(FIRST.key, harness.context.clock.monotonic())
+        restarted = harness.add(make_next_start(FIRST))
+        result = await item_task
         assert result.text == "v1.1\nv1.2\nv1.3\nv1.4"
-        ((at, last),) = again.asked
-        assert last == 2 and at < 0.5
+        ((at, last_event),) = restarted.requests
+        assert last_event == 2 and at < 0.5
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_what_the_former_start_says_late_is_in_no_text() -> None:
-    """Its next events come half a second after the new start's entry, in the middle of the new run."""
+def test_late_events_of_the_previous_start_are_not_added_to_the_text() -> None:
+    """The previous start sends its next event after 0.33 s, during the new request."""
 
-    async def scene() -> None:
-        made = Scene()
-        made.add(FIRST, stop_at=2, silent_s=0.33)
-        asked = asyncio.ensure_future(made.async_item())
+    async def scenario() -> None:
+        harness = EngineHarness()
+        harness.add(FIRST, stop_at=2, silent_s=0.33)
+        item_task = asyncio.ensure_future(harness.async_run_item())
         await asyncio.sleep(0.3)
-        made.add(next_start(FIRST, versions={MODEL: 2}))
-        result = await asked
+        harness.add(make_next_start(FIRST, versions={MODEL: 2}))
+        result = await item_task
         assert result.text == "v1.1\nv1.2\nv2.3\nv2.4" and result.versions == (1, 2)
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_an_engine_that_lost_its_version_gets_no_item_that_needs_it() -> None:
-    """An answer had told version 3; the next start has 1, and the job allows nothing below 2."""
+def test_item_is_not_sent_to_a_restarted_engine_with_an_older_version() -> None:
+    """A response had version 3; the restarted engine has 1, and the job requires at least 2."""
 
-    async def scene() -> None:
-        made = Scene()
-        made.add(FIRST)
-        made.directory.learn(FIRST.key, MODEL, 3)
-        again = made.add(next_start(FIRST))
-        asked = asyncio.ensure_future(made.async_item(min_version=2))
+    async def scenario() -> None:
+        harness = EngineHarness()
+        harness.add(FIRST)
+        harness.directory.learn(FIRST.key, MODEL, 3)
+        restarted = harness.add(make_next_start(FIRST))
+        item_task = asyncio.ensure_future(harness.async_run_item(min_version=2))
         await asyncio.sleep(1)
-        assert again.asked == [] and not asked.done()
-        made.add(attrs.evolve(FIRST, id="e-2", versions={MODEL: 2}))
-        assert (await asked).versions == (2,)
+        assert restarted.requests == [] and not item_task.done()
+        harness.add(attrs.evolve(FIRST, id="e-2", versions={MODEL: 2}))
+        assert (await item_task).versions == (2,)
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_nothing_is_remembered_for_ever_of_starts_that_are_over() -> None:
-    """A gateway runs for months, and engines start again: when one was last heard says nothing then."""
+def test_receive_times_of_past_engine_starts_do_not_accumulate() -> None:
+    """Engines restart during months of a gateway's uptime, so stale entries would leak memory."""
 
-    async def scene() -> None:
-        made = Scene()
+    async def scenario() -> None:
+        harness = EngineHarness()
         for number in range(11_000):
-            made.tools.heard[f"e-{number}@1"] = timedelta()
+            harness.context.last_received_at[f"e-{number}@1"] = timedelta()
         await asyncio.sleep(30)
-        made.add(FIRST)
-        await made.async_item()
-        assert set(made.tools.heard) == {FIRST.key}
+        harness.add(FIRST)
+        await harness.async_run_item()
+        assert set(harness.context.last_received_at) == {FIRST.key}
 
-    run_virtual(scene())
+    run_virtual(scenario())
--- a/tests/jobs/test_runner.py
+++ b/tests/jobs/test_runner.py
@@ -1,4 +1,4 @@
-"""Which items a node starts, and when."""
+"""Tests which items a node starts, and when."""
 
 import asyncio
 from datetime import timedelta
@@ -19,7 +19,7 @@
 
 
 class Node:
-    """A node whose runner notes what it starts."""
+    """A node whose runner records the items it would start."""
 
     def __init__(self, link: StoreLink) -> None:
         clock, metrics = LoopClock(), Metrics()
@@ -42,18 +42,18 @@
         self.runner._start_item = (  # type: ignore[method-assign]
             lambda state, index: self.started.append((state.job.id, index))
         )
-        work = (self.jobs.tails[0].async_run(), self.runner.async_run())
-        self.tasks = [asyncio.ensure_future(part) for part in work]
+        loops = (self.jobs.tails[0].async_run(), self.runner.async_run())
+        self.tasks = [asyncio.ensure_future(loop_coroutine) for loop_coroutine in loops]
 
 
-def test_a_node_that_starts_runs_nothing_of_a_job_whose_end_it_has_not_read_yet() -> None:
-    """All nodes are killed; one starts and reads the partition in pages.
+def test_starting_node_runs_no_items_of_a_job_whose_end_is_on_a_later_page() -> None:
+    """All nodes are killed; one starts and reads the partition page by page.
 
-    A job that ended long ago comes a page before its end. Run in between, its items would reach
-    engines after the trainer was told that the job is over.
+    The record of a job that has ended is one page before the record of its end. Items started in
+    between would reach engines after the trainer was told that the job ended.
     """
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
         for name in ("job-1", "job-2"):
             store.append("jobs", 0, encode_records(encode_job(make_job(name), "w")))
@@ -64,21 +64,22 @@
         await asyncio.sleep(1)
         assert {name for name, _ in node.started} == {"job-2"}
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_what_ended_is_remembered_while_the_partition_is_read_on() -> None:
-    """An item ended here and is not listed yet, and for a moment the partition has more to read.
+def test_ended_item_is_not_run_again_before_its_result_is_read_back() -> None:
+    """An item ended on this node, its result is not read back yet, and the tail is briefly behind.
 
-    The item is still not due afterwards: forgotten in that moment, it would be run a second time.
+    If the runner forgot the item while the tail is not at the end, it would run the item a second
+    time.
     """
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
         store.append("jobs", 0, encode_records(encode_job(make_job("job-1"), "w")))
         node = Node(StoreLink(store))
         await asyncio.sleep(0.1)
-        node.runner._ended["job-1"].add(0)
+        node.runner._ended_items["job-1"].add(0)
         node.started.clear()
         tail = node.jobs.tails[0]
         for at_end in (False, True):
@@ -86,45 +87,45 @@
             node.runner._start_due()
         assert node.started and ("job-1", 0) not in node.started
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_a_result_that_comes_as_the_writer_ends_is_recorded() -> None:
-    """The store takes the last result at hand, and another item ends before the loop's next turn.
+def test_result_that_is_queued_while_the_writer_ends_is_recorded() -> None:
+    """The store accepts the last result; another item ends before the next loop iteration.
 
-    The writer has looked for more and is over, and still counts as at work: the result was left to
-    it, and nothing wrote it. The trainer waited for its last result until another item of the
-    partition ended at this node, or another node ran the item anew after seconds.
+    The writer has already checked for more results, but is still registered. The new result would
+    be left to it and never be written. The trainer would wait until another item of the partition
+    ends at this node, or until another node runs the item again seconds later.
     """
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store, result = FakeStore(), ItemResult(ItemState.COMPLETED, "text")
         store.append("jobs", 0, encode_records(encode_job(make_job("job-1"), "w")))
         node = Node(StoreLink(store))
         await asyncio.sleep(0.1)
         state, loop = node.jobs.book.jobs["job-1"], asyncio.get_running_loop()
-        record = node.jobs.async_record
+        original_async_record = node.jobs.async_record
 
-        async def async_record_and_end_another(job_id: str, records: list[JobRecord]) -> bool:
-            taken = await record(job_id, records)
-            node.jobs.async_record = record  # type: ignore[method-assign]
+        async def async_record_while_another_ends(job_id: str, records: list[JobRecord]) -> bool:
+            recorded = await original_async_record(job_id, records)
+            node.jobs.async_record = original_async_record  # type: ignore[method-assign]
             answer = loop.create_future()
 
-            def answer_and_end_another() -> None:
-                """Wake the writer; the other item ends after it, before anything that follows."""
+            def answer_while_another_ends() -> None:
+                """Wake the writer; the other item ends directly after it."""
                 answer.set_result(None)
-                loop.call_soon(node.runner._finish, state, 1, result)
+                loop.call_soon(node.runner._queue_result, state, 1, result)
 
-            loop.call_soon(answer_and_end_another)
+            loop.call_soon(answer_while_another_ends)
             await answer
-            return taken
+            return recorded
 
-        node.jobs.async_record = async_record_and_end_another  # type: ignore[method-assign]
-        node.runner._finish(state, 0, result)
+        node.jobs.async_record = async_record_while_another_ends  # type: ignore[method-assign]
+        node.runner._queue_result(state, 0, result)
         await asyncio.sleep(2)
         assert state.done == {0, 1}
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
 def _node_with(live: list[str]) -> tuple[FakeStore, Node]:
@@ -135,92 +136,93 @@
     return store, node
 
 
-def test_what_fell_to_a_dead_node_starts_without_a_change_of_its_job() -> None:
-    """Two nodes share a job; one dies, and nothing of the job changes after that."""
+def test_groups_of_a_dead_node_start_without_a_change_of_their_job() -> None:
+    """Two nodes share a job and one dies; no later record of the job triggers a check of it."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         _, node = _node_with(["front-1", "front-2"])
         await asyncio.sleep(0.5)
-        first = {index for _, index in node.started}
-        assert 0 < len(first) < 16
+        first_started = {index for _, index in node.started}
+        assert 0 < len(first_started) < 16
         node.live = ["front-1"]
         await asyncio.sleep(0.6)
         assert {index for _, index in node.started} == set(range(16))
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_results_of_one_job_do_not_keep_the_time_of_another_from_being_noticed() -> None:
-    """The other node froze behind its sign of life, while results of a second job come all the time.
+def test_results_of_one_job_do_not_delay_the_takeover_of_another() -> None:
+    """The other node is frozen but still sends heartbeats, while results of a second job arrive.
 
-    Each wakes the runner for its own job only; what the frozen node had is still taken over in time.
+    Each result wakes the runner for its own job only. The items of the frozen node must still be
+    taken over in time.
     """
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store, node = _node_with(["front-1", "front-2"])
-        busy = make_job("job-2", items=400)
-        store.append("jobs", 0, encode_records(encode_job(busy, "w")))
+        busy_job = make_job("job-2", items=400)
+        store.append("jobs", 0, encode_records(encode_job(busy_job, "w")))
         for number in range(100):
             result = ResultRecord("job-2", number, ItemResult(ItemState.COMPLETED, "t"))
             store.append("jobs", 0, encode_records([result]))
             await asyncio.sleep(0.05)
         assert {index for job, index in node.started if job == "job-1"} == set(range(16))
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_a_node_outside_of_a_jobs_team_leaves_its_items_packed() -> None:
-    """Of 26 nodes two share the job; the results that the others hear cost them no item."""
+def test_node_outside_of_a_jobs_team_does_not_decode_its_items() -> None:
+    """Two of 26 nodes share the job; the others must not spend time on decoding its items."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         names = [f"front-{number}" for number in range(1, 27)]
-        placed = JobPlacement("model", 16, "front-1", names)
-        assert placed.start_delay("g0") is None
+        placement = JobPlacement("model", 16, "front-1", names)
+        assert placement.start_delay("g0") is None
         _, node = _node_with(names)
         await asyncio.sleep(1)
         state = node.jobs.book.jobs["job-1"]
         assert node.started == [] and isinstance(state.details, bytes)
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_results_wake_nobody_and_an_end_does() -> None:
-    """A hundred results of a known job come within a second, then its end.
+def test_results_do_not_trigger_a_scan_but_the_end_of_a_job_does() -> None:
+    """A hundred results of a known job arrive within a second, then its end.
 
-    What it had to start has started with the job; the end alone stops what runs, without delay.
+    Results make no further items due. Only the end must be handled at once, to stop running items.
     """
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store, node = _node_with(["front-1"])
-        busy = make_job("job-2", items=400)
-        store.append("jobs", 0, encode_records(encode_job(busy, "w")))
+        busy_job = make_job("job-2", items=400)
+        store.append("jobs", 0, encode_records(encode_job(busy_job, "w")))
         await asyncio.sleep(0.1)
-        looks: list[float] = []
-        look = node.runner._look
+        scan_times: list[float] = []
+        scan = node.runner._scan
 
-        def counted() -> None:
-            looks.append(asyncio.get_running_loop().time())
-            look()
+        def counted_scan() -> None:
+            scan_times.append(asyncio.get_running_loop().time())
+            scan()
 
-        node.runner._look = counted  # type: ignore[method-assign]
+        node.runner._scan = counted_scan  # type: ignore[method-assign]
         for number in range(100):
             result = ResultRecord("job-2", number, ItemResult(ItemState.COMPLETED, "t"))
             store.append("jobs", 0, encode_records([result]))
             await asyncio.sleep(0.01)
-        assert 3 <= len(looks) <= 8
+        assert 3 <= len(scan_times) <= 8
         ended_at = asyncio.get_running_loop().time()
         store.append("jobs", 0, encode_records([JobEnded("job-2")]))
         await asyncio.sleep(0.05)
-        assert ended_at <= looks[-1] <= ended_at + 0.02
+        assert ended_at <= scan_times[-1] <= ended_at + 0.02
         assert "job-2" not in node.runner._plans and "job-1" in node.runner._plans
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_a_job_starts_at_once_however_many_others_are_known() -> None:
-    """A known job's results make no look due; a job that comes between them starts with its record."""
+def test_new_job_starts_immediately_between_results_of_another() -> None:
+    """Results of a known job trigger no scan, but a job submitted after them must start at once."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store, node = _node_with(["front-1"])
         await asyncio.sleep(0.1)
         for number in range(5):
@@ -231,13 +233,13 @@
         await asyncio.sleep(0.02)
         assert {index for job, index in node.started if job == "job-3"} == set(range(4))
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_a_job_that_is_read_a_page_before_the_end_starts_with_the_end() -> None:
-    """The runner looks at it while more is to come, and again as soon as the rest is there."""
+def test_job_on_an_earlier_page_starts_when_the_last_page_is_read() -> None:
+    """The runner checks the job while the tail is behind, and has to check it again at the end."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
         node = Node(StoreLink(store))
         await asyncio.sleep(0.3)
@@ -247,4 +249,4 @@
         await asyncio.sleep(0.03)
         assert {name for name, _ in node.started} == {"job-1", "job-2"}
 
-    run_virtual(scene())
+    run_virtual(scenario())
--- a/tests/jobs/test_service.py
+++ b/tests/jobs/test_service.py
@@ -1,4 +1,4 @@
-"""Submitting, reading and ending jobs while the store fails in each of its ways."""
+"""Tests submitting, reading and ending jobs for each kind of store failure."""
 
 import asyncio
 from datetime import timedelta
@@ -16,82 +16,85 @@
 
 from .test_book import make_job
 
-PARTS = 4
-KEEP = timedelta(seconds=180)
+PARTITIONS = 4
+RETENTION = timedelta(seconds=180)
 
 
 class Node:
-    """A node's job service, following the store."""
+    """A node whose job service follows the store."""
 
     def __init__(self, store: FakeStore) -> None:
         self.link = StoreLink(store)
         clock = LoopClock()
-        self.jobs = JobService(self.link, PARTS, clock, StoreHealth(clock), Metrics(), KEEP)
+        self.jobs = JobService(
+            self.link, PARTITIONS, clock, StoreHealth(clock), Metrics(), RETENTION
+        )
         self.tasks = [asyncio.ensure_future(tail.async_run()) for tail in self.jobs.tails]
 
 
-async def _async_nodes(store: FakeStore, count: int) -> list[Node]:
+async def _async_start_nodes(store: FakeStore, count: int) -> list[Node]:
     nodes = [Node(store) for _ in range(count)]
     await asyncio.sleep(0.1)
     return nodes
 
 
-def test_a_job_taken_at_one_node_is_known_at_all() -> None:
-    """Submitted at two nodes at once, read at a third: accepted by both, there once."""
+def test_job_accepted_at_one_node_is_known_at_all_nodes() -> None:
+    """A job submitted at two nodes must be accepted by both, and exist once at a third."""
 
-    async def scene() -> None:
-        one, two, three = await _async_nodes(FakeStore(), 3)
+    async def scenario() -> None:
+        one, two, three = await _async_start_nodes(FakeStore(), 3)
         job = make_job()
-        taken = await asyncio.gather(one.jobs.async_submit(job), two.jobs.async_submit(job))
-        assert all(isinstance(answer, Ok) for answer in taken)
+        answers = await asyncio.gather(one.jobs.async_submit(job), two.jobs.async_submit(job))
+        assert all(isinstance(answer, Ok) for answer in answers)
         page = (await three.jobs.async_read("job-1", 0, timedelta())).unwrap()
         assert (page.total, page.next) == (4, 0)
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_a_refused_append_is_a_refusal_and_nothing_runs() -> None:
-    """The store says that nothing was done, again and again.
+def test_job_is_rejected_and_does_not_run_if_the_store_rejects_it() -> None:
+    """The store rejects every append.
 
-    The caller hears a refusal within a second, and no node ever knows the job.
+    The caller must be told within 1.2 s that the job was not stored, and no node may ever see the
+    job.
     """
 
-    async def scene() -> None:
-        one, two = await _async_nodes(FakeStore(), 2)
+    async def scenario() -> None:
+        one, two = await _async_start_nodes(FakeStore(), 2)
         one.link.refusing = lambda _topic, _part: True
-        began = LoopClock().monotonic()
+        began_at = LoopClock().monotonic()
         answer = await one.jobs.async_submit(make_job())
         assert answer.unwrap_err().problem is JobProblem.NOT_KEPT
-        assert LoopClock().monotonic() - began < timedelta(seconds=1.2)
+        assert LoopClock().monotonic() - began_at < timedelta(seconds=1.2)
         await asyncio.sleep(5)
         assert two.jobs.book.jobs == {}
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_an_append_without_an_answer_is_never_a_refusal() -> None:
-    """The store keeps the job and its answer is lost.
+def test_job_is_accepted_if_only_the_answer_of_the_append_is_lost() -> None:
+    """The store has stored the job, but its answer is lost.
 
-    Read back it is there, so the caller gets its acceptance.
+    The job is found by reading back the log, so the caller must not be told that it was rejected.
     """
 
-    async def scene() -> None:
-        (one,) = await _async_nodes(FakeStore(), 1)
+    async def scenario() -> None:
+        (one,) = await _async_start_nodes(FakeStore(), 1)
         one.link.lost = 1
         assert isinstance(await one.jobs.async_submit(make_job()), Ok)
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_an_append_that_may_come_late_is_told_as_unknown() -> None:
+def test_append_that_may_take_effect_later_is_not_reported_as_rejected() -> None:
     """The append takes effect four seconds later.
 
-    The caller is told that it may run, since a refusal would promise that it never does; the second
-    submission is then accepted as known.
+    The caller must be told that the job may run, since a rejection guarantees that it never does. A
+    second submission is then accepted because the job is known.
     """
 
-    async def scene() -> None:
-        one, two = await _async_nodes(FakeStore(), 2)
+    async def scenario() -> None:
+        one, two = await _async_start_nodes(FakeStore(), 2)
         one.link.lost, one.link.late = 1, timedelta(seconds=4)
         answer = await one.jobs.async_submit(make_job())
         assert answer.unwrap_err().problem is JobProblem.MAY_BE_KEPT
@@ -99,54 +102,54 @@
         assert "job-1" in two.jobs.book.jobs
         assert isinstance(await two.jobs.async_submit(make_job()), Ok)
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_a_caller_hears_when_to_come_back_before_it_leaves() -> None:
-    """The store is silent for four seconds when a job comes.
+def test_caller_is_told_when_to_retry_before_it_times_out() -> None:
+    """The store does not respond while a job is submitted.
 
-    Within a second the caller is told that the job may be kept, and to come back later than after a
-    short failure: its few tries reach past the outage.
+    Within 1.05 s the caller must be told that the job may have been stored. The retry delay grows
+    with the duration of the outage, so that the caller's few retries outlast it.
     """
 
-    async def scene() -> None:
-        (one,) = await _async_nodes(FakeStore(), 1)
+    async def scenario() -> None:
+        (one,) = await _async_start_nodes(FakeStore(), 1)
         one.link.silent = True
-        began = LoopClock().monotonic()
+        began_at = LoopClock().monotonic()
         first = (await one.jobs.async_submit(make_job())).unwrap_err()
-        assert LoopClock().monotonic() - began < timedelta(seconds=1.05)
+        assert LoopClock().monotonic() - began_at < timedelta(seconds=1.05)
         assert first.problem is JobProblem.MAY_BE_KEPT
         await asyncio.sleep(3)
         later = (await one.jobs.async_submit(make_job())).unwrap_err()
         assert first.retry_after and later.retry_after
         assert timedelta() < first.retry_after < later.retry_after
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_a_node_that_cannot_ask_the_store_says_so_and_never_that_there_is_no_job() -> None:
-    """A node cut from the store is asked for a job that others took: it is not sure."""
+def test_disconnected_node_does_not_report_a_job_as_unknown() -> None:
+    """A node without a connection to the store is asked for a job that another node accepted."""
 
-    async def scene() -> None:
-        one, two = await _async_nodes(FakeStore(), 2)
+    async def scenario() -> None:
+        one, two = await _async_start_nodes(FakeStore(), 2)
         two.link.silent = True
         await one.jobs.async_submit(make_job())
         read = await two.jobs.async_read("job-1", 0, timedelta())
         assert read.unwrap_err().problem is JobProblem.NOT_SURE
-        sure = await one.jobs.async_read("job-2", 0, timedelta())
-        assert sure.unwrap_err().problem is JobProblem.UNKNOWN_JOB
+        read_unknown = await one.jobs.async_read("job-2", 0, timedelta())
+        assert read_unknown.unwrap_err().problem is JobProblem.UNKNOWN_JOB
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_no_empty_page_where_another_node_listed_a_result() -> None:
-    """A node's poll went silent before a result was listed elsewhere.
+def test_lagging_node_returns_no_empty_page_for_a_listed_result() -> None:
+    """A node stopped receiving records before another node listed a result.
 
-    Asked for that position it reads to the end of the partition first.
+    When asked for that position, it must first read to the end of the partition.
     """
 
-    async def scene() -> None:
-        one, two = await _async_nodes(FakeStore(), 2)
+    async def scenario() -> None:
+        one, two = await _async_start_nodes(FakeStore(), 2)
         await one.jobs.async_submit(make_job())
         await asyncio.sleep(0.1)
         for task in two.tasks:
@@ -156,14 +159,14 @@
         page = (await two.jobs.async_read("job-1", 0, timedelta())).unwrap()
         assert [(item.id, found.text) for item, found in page.results] == [("job-1-i3", "text")]
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_a_reader_is_woken_by_the_result_that_it_waits_for() -> None:
-    """A read with a wait returns as soon as a result stands, not at its end."""
+def test_waiting_read_returns_as_soon_as_a_result_is_recorded() -> None:
+    """A read that waits for results must not wait until its timeout if a result arrives earlier."""
 
-    async def scene() -> None:
-        one, two = await _async_nodes(FakeStore(), 2)
+    async def scenario() -> None:
+        one, two = await _async_start_nodes(FakeStore(), 2)
         await one.jobs.async_submit(make_job())
         read = asyncio.ensure_future(two.jobs.async_read("job-1", 0, timedelta(seconds=1)))
         await asyncio.sleep(0.3)
@@ -172,15 +175,15 @@
         await asyncio.sleep(0.05)
         assert read.done() and read.result().unwrap().next == 1
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_all_nodes_killed_at_once_list_the_same_afterwards() -> None:
-    """Every process is killed. What the store has brings back jobs, results and their positions."""
+def test_restart_of_all_nodes_restores_jobs_and_result_positions() -> None:
+    """All nodes are killed; new ones must restore jobs, results and positions."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
-        nodes = await _async_nodes(store, 2)
+        nodes = await _async_start_nodes(store, 2)
         await nodes[0].jobs.async_submit(make_job())
         for index in (2, 0, 3):
             result = ItemResult(ItemState.COMPLETED, f"t{index}")
@@ -192,66 +195,68 @@
         for node in nodes:
             for task in node.tasks:
                 task.cancel()
-        for node in await _async_nodes(store, 3):
-            again = (await node.jobs.async_read("job-1", 0, timedelta())).unwrap()
-            assert again == before
+        for node in await _async_start_nodes(store, 3):
+            page = (await node.jobs.async_read("job-1", 0, timedelta())).unwrap()
+            assert page == before
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_an_end_is_kept_and_may_be_repeated() -> None:
-    """The job is ended at one node, again at another: both say so, and no node goes on."""
+def test_ending_a_job_is_durable_and_idempotent() -> None:
+    """A job is ended at two nodes; both calls must succeed and no node may continue it."""
 
-    async def scene() -> None:
-        one, two = await _async_nodes(FakeStore(), 2)
+    async def scenario() -> None:
+        one, two = await _async_start_nodes(FakeStore(), 2)
         await one.jobs.async_submit(make_job())
         assert isinstance(await two.jobs.async_end("job-1"), Ok)
         assert isinstance(await one.jobs.async_end("job-1"), Ok)
         assert isinstance(await one.jobs.async_end("job-9"), Err)
         assert not one.jobs.book.jobs["job-1"].open
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_deleted_records_do_not_stop_a_tail() -> None:
-    """The store deleted the oldest records before a node started: it goes on from what is kept."""
+def test_deleted_records_do_not_stop_a_starting_node() -> None:
+    """The oldest records were deleted before a node starts; it must read the remaining ones."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
-        (one,) = await _async_nodes(store, 1)
+        (one,) = await _async_start_nodes(store, 1)
         await one.jobs.async_submit(make_job("job-1"))
         await asyncio.sleep(0.1)
-        for key, kept in store.records.items():
-            store.first[key] = len(kept)
+        for key, records in store.records.items():
+            store.first[key] = len(records)
         await one.jobs.async_submit(make_job("job-2"))
-        (late,) = await _async_nodes(store, 1)
-        assert isinstance(await late.jobs.async_find("job-2"), Ok)
+        (late_node,) = await _async_start_nodes(store, 1)
+        assert isinstance(await late_node.jobs.async_find("job-2"), Ok)
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_a_gap_in_one_partition_ends_no_job_of_another() -> None:
-    """A gateway is cut off while the oldest records of one partition are deleted.
+def test_gap_in_one_partition_does_not_end_jobs_of_another() -> None:
+    """A gateway is disconnected while the oldest records of one partition are deleted.
 
-    Jobs there may have ended unread and get no more work; those of the other partition go on.
+    Jobs of that partition may have ended unnoticed and must not continue; those of others must.
     """
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
-        (node,) = await _async_nodes(store, 1)
+        (node,) = await _async_start_nodes(store, 1)
         jobs = [make_job(f"job-{number}") for number in range(8)]
         for job in jobs:
             assert (await node.jobs.async_submit(job)).is_ok()
         await asyncio.sleep(0.1)
-        gone = partition_of("job-0", PARTS)
+        partition = partition_of("job-0", PARTITIONS)
         node.link.silent = True
-        store.append("jobs", gone, encode_records([JobEnded("another"), JobEnded("third")]))
-        store.first[("jobs", gone)] = len(store.records[("jobs", gone)]) - 1
+        store.append("jobs", partition, encode_records([JobEnded("another"), JobEnded("third")]))
+        store.first[("jobs", partition)] = len(store.records[("jobs", partition)]) - 1
         await asyncio.sleep(4)
         node.link.silent = False
         await asyncio.sleep(4)
         states = node.jobs.book.jobs.values()
         assert {state.open for state in states} == {True, False}
-        assert all(state.open != (partition_of(state.job.id, PARTS) == gone) for state in states)
+        assert all(
+            state.open != (partition_of(state.job.id, PARTITIONS) == partition) for state in states
+        )
 
-    run_virtual(scene())
+    run_virtual(scenario())
--- a/tests/jobs/test_slow_engine.py
+++ b/tests/jobs/test_slow_engine.py
@@ -1,8 +1,9 @@
-"""A long text at an engine that turns several times slower in the middle of it.
+"""Long texts on an engine that becomes several times slower while it generates them.
 
-The trainer waits for its step; one text of it stands at an engine that answers, so no time limit and no
-health leaves it, and makes an event where the others make five. Left there, the text decides when the step is
-over. It goes on behind its last whole event at an engine that was heard to be faster and has a place.
+The engine still responds, so neither timeouts nor health checks abandon it, but it generates one
+event in the time of five events elsewhere. The text would then determine the duration of the
+trainer's step. It must resume after its last complete event at an engine that is known to be faster
+and has a free slot.
 """
 
 import asyncio
@@ -11,85 +12,89 @@
 import pytest
 
 from cranberryline.jobs.model import ItemResult
-from tests.jobs.engine_scene import FIRST, FakeEngine, Scene
+from tests.jobs.engine_harness import FIRST, EngineHarness, FakeEngine
 from tests.virtual_time import run_virtual
 
 LONG, SHORT = 160, 60
 EVENT_S = 0.04
 
 
-async def _async_warm(scene: Scene) -> None:
-    """Let short texts show the pace of both engines, and what an event has of tokens."""
+async def _async_learn_paces(harness: EngineHarness) -> None:
+    """Run short texts to learn the pace of both engines and the number of tokens per event."""
     names = [f"warm-{number}" for number in range(8)]
-    await asyncio.gather(*(scene.async_item(name=name, told_tokens=SHORT * 50) for name in names))
+    await asyncio.gather(
+        *(harness.async_run_item(name=name, told_tokens=SHORT * 50) for name in names)
+    )
 
 
-async def _async_long(scene: Scene, engines: list[FakeEngine], slow: float) -> ItemResult:
-    """Run a long text whose engine turns slow after a second."""
+async def _async_run_long_text(
+    harness: EngineHarness, engines: list[FakeEngine], slow_event_s: float
+) -> ItemResult:
+    """Run a long text whose engine becomes slow after a second."""
     for engine in engines:
         engine.events = LONG
-    asked = asyncio.ensure_future(scene.async_item(name="long", told_tokens=LONG * 50))
+    item_task = asyncio.ensure_future(harness.async_run_item(name="long", told_tokens=LONG * 50))
     await asyncio.sleep(1)
-    holder = max(engines, key=lambda engine: engine.asked[-1][0])
-    holder.event_s = slow
-    return await asked
+    serving_engine = max(engines, key=lambda engine: engine.requests[-1][0])
+    serving_engine.event_s = slow_event_s
+    return await item_task
 
 
-def _engines(scene: Scene) -> list[FakeEngine]:
+def _add_engines(harness: EngineHarness) -> list[FakeEngine]:
     rows = [attrs.evolve(FIRST, id=name, slots=16) for name in ("e-1", "e-2")]
-    return [scene.add(row, event_s=EVENT_S, events=SHORT) for row in rows]
+    return [harness.add(row, event_s=EVENT_S, events=SHORT) for row in rows]
 
 
-def test_a_long_text_leaves_an_engine_that_turned_slow() -> None:
-    """An event in 0.2 s instead of 0.04: 135 events would take 27 s, and take 6 elsewhere."""
+def test_long_text_moves_away_from_an_engine_that_became_slow() -> None:
+    """At 0.2 s instead of 0.04 s, 135 events would take 27 s; another engine needs 6 s."""
 
-    async def scene() -> None:
-        made = Scene()
-        engines = _engines(made)
-        await _async_warm(made)
-        began = asyncio.get_running_loop().time()
-        keeping = asyncio.ensure_future(_async_others(made))
-        result = await _async_long(made, engines, EVENT_S * 5)
-        keeping.cancel()
-        took = asyncio.get_running_loop().time() - began
+    async def scenario() -> None:
+        harness = EngineHarness()
+        engines = _add_engines(harness)
+        await _async_learn_paces(harness)
+        began_at = asyncio.get_running_loop().time()
+        other_texts = asyncio.ensure_future(_async_run_other_texts(harness))
+        result = await _async_run_long_text(harness, engines, EVENT_S * 5)
+        other_texts.cancel()
+        duration = asyncio.get_running_loop().time() - began_at
         assert result.text == "\n".join(f"v1.{number}" for number in range(1, LONG + 1))
-        assert took < 9.5
+        assert duration < 9.5
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-async def _async_others(scene: Scene) -> None:
-    """Keep other texts going, so that both engines are heard."""
+async def _async_run_other_texts(harness: EngineHarness) -> None:
+    """Run other texts continuously, so that the pace of both engines is known."""
     number = 0
     while True:
         number += 1
-        await scene.async_item(name=f"other-{number}", told_tokens=SHORT * 50)
+        await harness.async_run_item(name=f"other-{number}", told_tokens=SHORT * 50)
 
 
-@pytest.mark.parametrize("times", [1.0, 1.1])
-def test_a_text_stays_where_another_engine_would_save_little(times: float) -> None:
-    """Engines of like pace: a move would cost a connection and the prompt for nothing."""
+@pytest.mark.parametrize("factor", [1.0, 1.1])
+def test_text_does_not_move_if_another_engine_saves_little_time(factor: float) -> None:
+    """At similar paces, a move costs a new connection and another read of the prompt."""
 
-    async def scene() -> None:
-        made = Scene()
-        engines = _engines(made)
-        await _async_warm(made)
-        before = sum(len(engine.asked) for engine in engines)
-        await _async_long(made, engines, EVENT_S * times)
-        assert sum(len(engine.asked) for engine in engines) == before + 1
+    async def scenario() -> None:
+        harness = EngineHarness()
+        engines = _add_engines(harness)
+        await _async_learn_paces(harness)
+        before = sum(len(engine.requests) for engine in engines)
+        await _async_run_long_text(harness, engines, EVENT_S * factor)
+        assert sum(len(engine.requests) for engine in engines) == before + 1
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-def test_a_slow_engine_keeps_its_text_where_there_is_no_other() -> None:
-    """The only engine is left to its work: nothing is heard from elsewhere."""
+def test_text_stays_on_a_slow_engine_if_there_is_no_other() -> None:
+    """The only engine must not be abandoned, since no faster one is known."""
 
-    async def scene() -> None:
-        made = Scene()
-        engine = made.add(attrs.evolve(FIRST, slots=16), event_s=EVENT_S, events=SHORT)
-        await _async_warm(made)
-        before = len(engine.asked)
-        await _async_long(made, [engine], EVENT_S * 1.4)
-        assert len(engine.asked) == before + 1
+    async def scenario() -> None:
+        harness = EngineHarness()
+        engine = harness.add(attrs.evolve(FIRST, slots=16), event_s=EVENT_S, events=SHORT)
+        await _async_learn_paces(harness)
+        before = len(engine.requests)
+        await _async_run_long_text(harness, [engine], EVENT_S * 1.4)
+        assert len(engine.requests) == before + 1
 
-    run_virtual(scene())
+    run_virtual(scenario())
