--- a/bench/fold.py
+++ b/bench/fold.py
@@ -25,7 +25,7 @@
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.helpers.tail import StoreHealth
 from cranberryline.jobs import JobEnded, decode_record, encode_records
-from cranberryline.jobs.runner import JobRunner, RunnerParts
+from cranberryline.jobs.runner import JobRunner, RunnerDependencies
 from cranberryline.jobs.service import JobService
 from cranberryline.platform.adapter import UsersPlatform
 from cranberryline.ports.store import KeyedRecord
@@ -71,7 +71,7 @@
         clock, metrics = SystemClock(), Metrics()
         self.jobs = JobService(cast(Any, None), PARTS, clock, StoreHealth(clock), metrics, _KEEP)
         self.names = frozenset(f"front-{node}" for node in range(load.nodes))
-        parts = RunnerParts(
+        parts = RunnerDependencies(
             self.jobs,
             cast(Any, SimpleNamespace(table=object())),
             cast(Any, SimpleNamespace(places=lambda _service: 1)),
@@ -128,7 +128,7 @@
         node = _Node(load)
         for record in [*load.past(ended), *Load(nodes=nodes).past(open_jobs + ended, ended=False)]:
             node.take(record.records)
-        look = node.runner._start_due  # noqa: SLF001 - what a wake does
+        look = node.runner._scan_all  # noqa: SLF001 - what a wake does
         look()
         spent = _microseconds(lambda: [look() for _ in range(_REPEATS)], _REPEATS)  # noqa: B023
         _tell("wake", open_jobs=open_jobs, ended_jobs=ended, nodes=nodes, us=spent)
--- a/cranberryline/gateway/app.py
+++ b/cranberryline/gateway/app.py
@@ -24,7 +24,7 @@
 from cranberryline.helpers.tail import KeyedTail, PartitionTail, StoreHealth
 from cranberryline.jobs import JobState
 from cranberryline.jobs.mark_keeper import MarkKeeper
-from cranberryline.jobs.runner import JobRunner, RunnerParts
+from cranberryline.jobs.runner import JobRunner, RunnerDependencies
 from cranberryline.jobs.service import JobService
 from cranberryline.leases import LeaseKeeper
 from cranberryline.platform.adapter import UsersPlatform
@@ -132,7 +132,7 @@
             self._live_now,
         )
         self.runner = JobRunner(
-            RunnerParts(
+            RunnerDependencies(
                 self.jobs,
                 self.routes,
                 self.dispatcher,
--- a/cranberryline/gateway/ingress.py
+++ b/cranberryline/gateway/ingress.py
@@ -18,10 +18,10 @@
 from cranberryline.helpers.http_server import break_off
 from cranberryline.helpers.logging import get_logger
 from cranberryline.jobs.ports import (
+    HeaderPairs,
     ItemBodyRead,
     JobEnd,
     JobRead,
-    Pairs,
     PlainCall,
 )
 from cranberryline.routes import Route, RouteKind, RouteTable
@@ -193,7 +193,7 @@
         _LOGGER.warning("stream_cut", request_id=self.request_id, ms=self._ms())
         break_off(self)
 
-    async def _async_stream_head(self, status: int, headers: Pairs) -> None:
+    async def _async_stream_head(self, status: int, headers: HeaderPairs) -> None:
         self._first_ms = self._ms()
         self.set_status(status)
         for name, value in headers:
--- a/cranberryline/gateway/streams.py
+++ b/cranberryline/gateway/streams.py
@@ -10,7 +10,7 @@
 from cranberryline.dispatch.errors import Ran, Refusal, RefusalReason
 from cranberryline.dispatch.model import AnswerSink, CallerRequest
 from cranberryline.jobs.events import EventReader
-from cranberryline.jobs.ports import Pairs
+from cranberryline.jobs.ports import HeaderPairs
 
 __all__ = ["StreamAnswer", "StreamRun"]
 
@@ -23,7 +23,7 @@
 class StreamAnswer:
     """Where a stream goes: its head once, then whole events."""
 
-    head: Callable[[int, Pairs], Awaitable[None]]
+    head: Callable[[int, HeaderPairs], Awaitable[None]]
     events: Callable[[bytes], Awaitable[None]]
 
 
@@ -34,7 +34,7 @@
         self._run = run
         self._reader = EventReader(run.version_field)
         self.status = 0
-        self.headers: Pairs = ()
+        self.headers: HeaderPairs = ()
         self.body = b""
         self.upstream = ""
         self.broken = False
@@ -42,7 +42,7 @@
     @property
     def whole(self) -> bool:
         """Tell whether the answer ended behind a whole event."""
-        return self.status == STATUS_OK and self._reader.clean and not self.broken
+        return self.status == STATUS_OK and self._reader.at_event_boundary and not self.broken
 
     def dispatched(self, upstream: str) -> None:
         """Note the upstream of the attempt that begins."""
--- a/cranberryline/jobs/events.py
+++ b/cranberryline/jobs/events.py
@@ -30,7 +30,7 @@
         self._buffer = b""
 
     @property
-    def clean(self) -> bool:
+    def at_event_boundary(self) -> bool:
         """Return whether the buffer contains no part of an incomplete event."""
         return not self._buffer.strip()
 
@@ -70,15 +70,15 @@
 class ItemText:
     """The events of an item from all its requests, and the model versions that generated them.
 
-    The first `cut` events have been split off as pieces to be stored. `fresh_versions` generated
-    the events after them.
+    The first `cut_count` events have been split off as pieces to be stored. `uncut_versions`
+    generated the events after them.
     """
 
     events: list[str] = attrs.field(factory=list)
     versions: list[int] = attrs.field(factory=list)
     last_id: int | None = None
-    cut: int = 0
-    fresh_versions: list[int] = attrs.field(factory=list)
+    cut_count: int = 0
+    uncut_versions: list[int] = attrs.field(factory=list)
 
     @property
     def text(self) -> str:
@@ -93,20 +93,20 @@
         self.last_id = event.id
         if version not in self.versions:
             self.versions.append(version)
-        if version not in self.fresh_versions:
-            self.fresh_versions.append(version)
+        if version not in self.uncut_versions:
+            self.uncut_versions.append(version)
         return True
 
     @property
-    def fresh(self) -> int:
+    def uncut_count(self) -> int:
         """Return the number of events that have not been split off yet."""
-        return len(self.events) - self.cut
+        return len(self.events) - self.cut_count
 
-    def cut_fresh(self) -> tuple[list[str], tuple[int, ...]]:
+    def cut_piece(self) -> tuple[list[str], tuple[int, ...]]:
         """Split off the events after the last piece; return them and their model versions."""
-        events, versions = self.events[self.cut :], tuple(self.fresh_versions)
-        self.cut = len(self.events)
-        self.fresh_versions = []
+        events, versions = self.events[self.cut_count :], tuple(self.uncut_versions)
+        self.cut_count = len(self.events)
+        self.uncut_versions = []
         return events, versions
 
     def clear(self) -> None:
@@ -114,5 +114,5 @@
         self.events.clear()
         self.versions.clear()
         self.last_id = None
-        self.cut = 0
-        self.fresh_versions.clear()
+        self.cut_count = 0
+        self.uncut_versions.clear()
--- a/cranberryline/jobs/item.py
+++ b/cranberryline/jobs/item.py
@@ -58,7 +58,7 @@
         self.began_at = context.clock.monotonic()
         self.text_ended_at = self.began_at
         self.phases = ItemPhases(self.began_at)
-        self.known_age: timedelta | None = None
+        self.job_data_age: timedelta | None = None
         self._failed_runs = 0
         self._moves = 0
         self._pieces = PieceCutter(state.head.id, index)
@@ -123,11 +123,11 @@
         self.text = text
         self.resumed_events = len(text.events)
 
-    def piece(self) -> TextPiece | None:
+    def next_piece(self) -> TextPiece | None:
         """Return the next piece of the text to store, if there is one."""
         return self._pieces.next(self.text)
 
-    def piece_stands(self, piece: TextPiece) -> None:
+    def confirm_piece(self, piece: TextPiece) -> None:
         """Record that a piece has been stored."""
         self._pieces.stands(piece)
 
@@ -154,7 +154,7 @@
         """
         if not self._is_needed() or not self.context.knowledge.suffices(self.state.job.id):
             return False
-        self.known_age = self.context.knowledge.age(self.state.job.id)
+        self.job_data_age = self.context.knowledge.age(self.state.job.id)
         return True
 
     def _match_route(self, host: str, path: str) -> Route | None:
--- a/cranberryline/jobs/keeper.py
+++ b/cranberryline/jobs/keeper.py
@@ -73,7 +73,7 @@
         for run in runs:
             part = partition_of(run.state.head.id, len(self._jobs.tails))
             # A writer that waits for an outage's end has the pieces of its partition already.
-            piece = run.piece() if part not in self._writers else None
+            piece = run.next_piece() if part not in self._writers else None
             if piece is not None:
                 by_part[part].append((run, piece))
         for part, pieces in by_part.items():
@@ -92,8 +92,8 @@
             if not await self._async_append([piece for _, piece in batch]):
                 return
             for run, piece in batch:
-                run.piece_stands(piece)
-                behind = run.piece()
+                run.confirm_piece(piece)
+                behind = run.next_piece()
                 if behind is not None:
                     pieces.append((run, behind))
 
--- a/cranberryline/jobs/mark_keeper.py
+++ b/cranberryline/jobs/mark_keeper.py
@@ -80,7 +80,7 @@
             detail = read.err() or "no partition of ours"
             self._health.unsound("mark_unreadable", key=key, detail=detail)
             return
-        self._jobs.begin_at(part, read.unwrap())
+        self._jobs.start_from_mark(part, read.unwrap())
 
     async def _async_write(self) -> None:
         """Write the marks that have moved, and delete texts that are over, of the partitions that fall to this node."""
--- a/cranberryline/jobs/phases.py
+++ b/cranberryline/jobs/phases.py
@@ -14,7 +14,8 @@
     All times are on the monotonic clock. `slot_wait` is the time spent waiting for a slot of an
     upstream, `prefill` the time until the first event of each request, and `lost` the time of
     requests that did not contribute to the result. The rest of the text's time was spent on events
-    that are kept. The values of `stage` are written to the log.
+    that are kept. The values of `stage` are written to the log; "place" means waiting for a slot of
+    an upstream.
     """
 
     def __init__(self, began_at: timedelta) -> None:
--- a/cranberryline/jobs/pieces.py
+++ b/cranberryline/jobs/pieces.py
@@ -34,9 +34,14 @@
         """Return the piece to append now: the one whose append got no answer, or a new one."""
         if self._under_way is not None:
             return self._under_way
-        if not self.wanted or self._stopped or text.fresh < LEAST_EVENTS or text.last_id is None:
+        if (
+            not self.wanted
+            or self._stopped
+            or text.uncut_count < LEAST_EVENTS
+            or text.last_id is None
+        ):
             return None
-        events, versions = text.cut_fresh()
+        events, versions = text.cut_piece()
         data, crc = encode_events(events)
         if len(data) > MAX_PIECE_BYTES:
             # Nothing can follow a piece that is not kept: the text is no longer kept, and still made.
--- a/cranberryline/jobs/plan.py
+++ b/cranberryline/jobs/plan.py
@@ -31,13 +31,13 @@
     """
 
     def __init__(
-        self, state: JobState, tail: PartitionTail, node: str, live: Collection[str]
+        self, state: JobState, tail: PartitionTail, node: str, live_nodes: Collection[str]
     ) -> None:
         self.tail = tail
-        self.live = live
+        self.live_nodes = live_nodes
         self.seen_at = state.seen_at
         self.trainer = state.head.model or state.head.host
-        self.placement = JobPlacement(self.trainer, len(state.head.items), node, live)
+        self.placement = JobPlacement(self.trainer, len(state.head.items), node, live_nodes)
         self._state = state
         groups: dict[str, _Group | None] = {}
         for index, item in enumerate(state.head.items):
--- a/cranberryline/jobs/ports.py
+++ b/cranberryline/jobs/ports.py
@@ -14,14 +14,14 @@
     "AnswerHead",
     "CallerCall",
     "EdgeFormat",
+    "HeaderPairs",
     "ItemBodyRead",
     "JobEnd",
     "JobRead",
     "PlainCall",
-    "Pairs",
 ]
 
-Pairs = tuple[tuple[str, str], ...]
+HeaderPairs = tuple[tuple[str, str], ...]
 
 
 @attrs.frozen
@@ -97,20 +97,20 @@
         """Encode a page of results for a caller."""
 
     @abc.abstractmethod
-    def item_headers(self, job: Job, item: Item, last_event: int | None) -> Pairs:
+    def item_headers(self, job: Job, item: Item, last_event: int | None) -> HeaderPairs:
         """Return the headers of the request that generates an item's text.
 
         If `last_event` is set, the text is resumed after that event.
         """
 
     @abc.abstractmethod
-    def resume_headers(self, headers: Pairs, last_event: int | None) -> Pairs:
+    def resume_headers(self, headers: HeaderPairs, last_event: int | None) -> HeaderPairs:
         """Return a caller's headers with a request to resume after an event."""
 
     @abc.abstractmethod
-    def scorer_headers(self, scorer: Scorer) -> Pairs:
+    def scorer_headers(self, scorer: Scorer) -> HeaderPairs:
         """Return the headers of the request that scores an item's text."""
 
     @abc.abstractmethod
-    def answer_head(self, headers: Pairs) -> AnswerHead:
+    def answer_head(self, headers: HeaderPairs) -> AnswerHead:
         """Parse the headers of an upstream's response."""
--- a/cranberryline/jobs/turns.py
+++ b/cranberryline/jobs/read_limiter.py
@@ -10,10 +10,10 @@
 from cranberryline.helpers.tail import ReadTurns, TimedRead
 from cranberryline.ports.store import LogRead, StoreError, StoreProblem
 
-__all__ = ["Turns"]
+__all__ = ["ReadLimiter"]
 
 
-class Turns(ReadTurns):
+class ReadLimiter(ReadTurns):
     """Runs reads with the concurrency and timeouts of `ReadPace`.
 
     A read that takes longer than its turn continues, but no longer counts towards the limit.
--- a/cranberryline/jobs/runner.py
+++ b/cranberryline/jobs/runner.py
@@ -28,7 +28,7 @@
 from .service import JobService
 from .state import JobState
 
-__all__ = ["JobRunner", "RunnerParts"]
+__all__ = ["JobRunner", "RunnerDependencies"]
 
 _LOGGER = get_logger(__name__)
 
@@ -43,7 +43,7 @@
 
 
 @attrs.define
-class RunnerParts:
+class RunnerDependencies:
     """Dependencies of `JobRunner`."""
 
     jobs: JobService
@@ -55,7 +55,7 @@
     metrics: Metrics
     node: str
     # Returns the nodes that are alive, given the monotonic time at which a job was first seen.
-    live: Callable[[timedelta], Collection[str]]
+    live_nodes: Callable[[timedelta], Collection[str]]
 
 
 @attrs.frozen(eq=False)
@@ -80,10 +80,10 @@
     An append is repeated until the result is known to be in the log.
     """
 
-    def __init__(self, parts: RunnerParts) -> None:
-        self._parts = parts
-        self._jobs = parts.jobs
-        self._clock = parts.clock
+    def __init__(self, dependencies: RunnerDependencies) -> None:
+        self._dependencies = dependencies
+        self._jobs = dependencies.jobs
+        self._clock = dependencies.clock
         self._wake = asyncio.Event()
         self._running: dict[tuple[str, int], _RunningItem] = {}
         # Indexes of items that ended on this node, per job. The job book lists a result only after
@@ -101,24 +101,24 @@
         self._rng = random.Random()
         self.stopping = False
         self._context = ItemContext(
-            parts.routes,
-            parts.dispatcher,
-            parts.edge,
-            parts.versions,
-            parts.clock,
-            parts.metrics,
+            dependencies.routes,
+            dependencies.dispatcher,
+            dependencies.edge,
+            dependencies.versions,
+            dependencies.clock,
+            dependencies.metrics,
             self._rng,
-            ScoringSlots(parts.dispatcher.places),
-            parts.jobs.book.completed,
-            parts.jobs.knowledge,
-            parts.jobs.book.begun,
-            parts.jobs.texts.async_read,
+            ScoringSlots(dependencies.dispatcher.places),
+            dependencies.jobs.book.completed,
+            dependencies.jobs.knowledge,
+            dependencies.jobs.book.begun,
+            dependencies.jobs.texts.async_read,
         )
         self._keeper = TextKeeper(
-            parts.jobs,
-            parts.clock,
+            dependencies.jobs,
+            dependencies.clock,
             lambda: (item.run for item in self._running.values()),
-            lambda: len(parts.live(parts.clock.monotonic())),
+            lambda: len(dependencies.live_nodes(dependencies.clock.monotonic())),
         )
         self._jobs.book.listen(self._on_change)
 
@@ -143,7 +143,7 @@
     async def _async_scan_jobs(self) -> None:
         while True:
             delay = _FULL_SCAN_INTERVAL
-            if not self.stopping and self._parts.routes.table is not None:
+            if not self.stopping and self._dependencies.routes.table is not None:
                 self._scan()
                 delay = max(self._next_full_scan - self._clock.monotonic(), timedelta())
             self._wake.clear()
@@ -178,7 +178,7 @@
         for item in items:
             item.task.cancel()
         if items:
-            ages = [item.run.known_age for item in items if item.run.known_age is not None]
+            ages = [item.run.job_data_age for item in items if item.run.job_data_age is not None]
             oldest = in_milliseconds(max(ages, default=timedelta()))
             _LOGGER.info(
                 "job_items_cancelled",
@@ -195,13 +195,13 @@
         change costs a node ten milliseconds of CPU time per second (`script/bench fold`).
         """
         if self._clock.monotonic() >= self._next_full_scan:
-            self._start_due()
+            self._scan_all()
             return
         jobs = self._jobs.book.jobs
         states = [jobs[job_id] for job_id in self._changed_jobs if job_id in jobs]
         self._scan_states(sorted(states, key=lambda state: state.seen_at))
 
-    def _start_due(self) -> None:
+    def _scan_all(self) -> None:
         """Check every open job, and drop the data of jobs that are no longer open."""
         self._next_full_scan = self._clock.monotonic() + _FULL_SCAN_INTERVAL
         open_states = [state for state in self._jobs.book.jobs.values() if state.open]
@@ -241,10 +241,10 @@
         if not tail.at_end:
             self._changed_jobs.add(job_id)
             return None
-        live = self._parts.live(state.seen_at)
+        live_nodes = self._dependencies.live_nodes(state.seen_at)
         plan = self._plans.get(job_id)
-        if plan is None or plan.live != live:
-            plan = self._plans[job_id] = JobPlan(state, tail, self._parts.node, live)
+        if plan is None or plan.live_nodes != live_nodes:
+            plan = self._plans[job_id] = JobPlan(state, tail, self._dependencies.node, live_nodes)
         return plan
 
     def _start_due_items(self, state: JobState, plan: JobPlan, now: timedelta) -> None:
@@ -301,7 +301,7 @@
             events=len(run.text.events),
             runs=run.runs,
             taken_up=run.resumed_events,
-            known_ms=None if run.known_age is None else in_milliseconds(run.known_age),
+            known_ms=None if run.job_data_age is None else in_milliseconds(run.job_data_age),
             waited_ms=in_milliseconds(run.began_at - run.state.seen_at),
             text_ms=in_milliseconds(run.text_ended_at - run.began_at),
             place_ms=in_milliseconds(phases.slot_wait),
--- a/cranberryline/jobs/service.py
+++ b/cranberryline/jobs/service.py
@@ -35,9 +35,9 @@
 from .marks import PartitionMark
 from .model import ItemHead, ItemResult, Job, JobEnded, JobRecord
 from .partition import partition_of
+from .read_limiter import ReadLimiter
 from .state import JobState
 from .text_log import TextLog
-from .turns import Turns
 
 __all__ = ["JobPage", "JobService"]
 
@@ -77,7 +77,7 @@
         self._health = health
         self._metrics = metrics
         self._change_events: dict[str, asyncio.Event] = {}
-        first_reads = Turns(ReadPace(), clock)
+        first_reads = ReadLimiter(ReadPace(), clock)
         self.tails = [
             PartitionTail(
                 log,
@@ -113,7 +113,7 @@
         """Return whether every partition has been read to its end at least once."""
         return all(tail.loaded.is_set() for tail in self.tails)
 
-    def begin_at(self, partition: int, mark: PartitionMark) -> None:
+    def start_from_mark(self, partition: int, mark: PartitionMark) -> None:
         """Start reading a partition at its checkpoint; must be called before its tail runs."""
         if mark.offset <= self.tails[partition].offset:
             return
--- a/cranberryline/jobs/sink.py
+++ b/cranberryline/jobs/sink.py
@@ -49,7 +49,7 @@
     @property
     def complete(self) -> bool:
         """Return whether the stream ended after a complete event."""
-        return self._reader.clean
+        return self._reader.at_event_boundary
 
     def dispatched(self, upstream: str) -> None:
         """Record the upstream of the request, and start its silence timeout."""
--- a/cranberryline/platform/edge.py
+++ b/cranberryline/platform/edge.py
@@ -13,10 +13,10 @@
     AnswerHead,
     CallerCall,
     EdgeFormat,
+    HeaderPairs,
     ItemBodyRead,
     JobEnd,
     JobRead,
-    Pairs,
     PlainCall,
 )
 from cranberryline.jobs.service import JobPage
@@ -140,14 +140,14 @@
             rows.append(row)
         return msgspec.json.encode({"total": page.total, "next_token": page.next, "results": rows})
 
-    def item_headers(self, job: Job, item: Item, last_event: int | None) -> Pairs:
+    def item_headers(self, job: Job, item: Item, last_event: int | None) -> HeaderPairs:
         """Return the item's own headers, its id, the route's host and where to go on."""
         headers = [*item.headers, (HEADER_REQUEST_ID, item.id), (HEADER_HOST, job.host)]
         if last_event is not None:
             headers.append((HEADER_LAST_EVENT, str(last_event)))
         return tuple(headers)
 
-    def resume_headers(self, headers: Pairs, last_event: int | None) -> Pairs:
+    def resume_headers(self, headers: HeaderPairs, last_event: int | None) -> HeaderPairs:
         """Return the headers with the event to go on after in place of the caller's own."""
         if last_event is None:
             return headers
@@ -155,11 +155,11 @@
         kept = [pair for pair in headers if pair[0].lower() != own]
         return (*kept, (HEADER_LAST_EVENT, str(last_event)))
 
-    def scorer_headers(self, scorer: Scorer) -> Pairs:
+    def scorer_headers(self, scorer: Scorer) -> HeaderPairs:
         """Return the scoring request's id and host."""
         return ((HEADER_REQUEST_ID, scorer.id), (HEADER_HOST, scorer.host))
 
-    def answer_head(self, headers: Pairs) -> AnswerHead:
+    def answer_head(self, headers: HeaderPairs) -> AnswerHead:
         """Read signature and version."""
         found = {name.lower(): value for name, value in headers}
         version = _number(found.get(HEADER_VERSIONS.lower(), ""))
--- a/tests/jobs/gateway_fake.py
+++ b/tests/jobs/gateway_fake.py
@@ -18,7 +18,7 @@
 from cranberryline.jobs.codec import encode_events, encode_job, encode_records
 from cranberryline.jobs.model import Item, Job, JobEnded, Scorer, TextPiece
 from cranberryline.jobs.ports import AnswerHead
-from cranberryline.jobs.runner import JobRunner, RunnerParts
+from cranberryline.jobs.runner import JobRunner, RunnerDependencies
 from cranberryline.jobs.service import JobService
 from cranberryline.ports.store import LogRead, StoreError, StoreProblem
 from tests.store_fake import FakeStore, StoreLink
@@ -31,19 +31,19 @@
 _BROKEN = Refusal(RefusalReason.UPSTREAM_FAILED, ran=Ran.UNKNOWN)
 
 
-class OneEngine:
+class SingleEngineDispatcher:
     """Replaces the dispatcher.
 
-    A request is queued for `queued` seconds and then runs for `takes` seconds. Only the first
-    `whole` requests complete, all others break. `reached` has the time at which each request
-    reached the engine.
+    A request is queued for `queue_s` seconds and then runs for `run_s` seconds. Only the first
+    `complete_runs` requests complete, all others break. `reached_at` has the time at which each
+    request reached the engine.
     """
 
-    def __init__(self, queued: float = 0.0, takes: float = 0.3, whole: int = 0) -> None:
-        self.queued = queued
-        self.takes = takes
-        self.whole = whole
-        self.reached: list[float] = []
+    def __init__(self, queue_s: float = 0.0, run_s: float = 0.3, complete_runs: int = 0) -> None:
+        self.queue_s = queue_s
+        self.run_s = run_s
+        self.complete_runs = complete_runs
+        self.reached_at: list[float] = []
 
     version = 1
 
@@ -57,14 +57,14 @@
 
     async def async_run(self, req: CallerRequest, sink: AnswerSink) -> Result[str, Refusal]:
         """Send the request to the engine, if that is still allowed after its time in the queue."""
-        await asyncio.sleep(self.queued)
+        await asyncio.sleep(self.queue_s)
         if req.eligible is not None and not req.eligible("engine-1"):
             return Err(_NO_UPSTREAM)
-        self.reached.append(asyncio.get_running_loop().time())
+        self.reached_at.append(asyncio.get_running_loop().time())
         sink.dispatched("engine-1")
-        whole, self.whole = self.whole, max(0, self.whole - 1)
-        await asyncio.sleep(self.takes)
-        if not whole:
+        complete_runs, self.complete_runs = self.complete_runs, max(0, self.complete_runs - 1)
+        await asyncio.sleep(self.run_s)
+        if not complete_runs:
             return Err(_BROKEN)
         await sink.async_head(200, (("version", "1"),))
         await sink.async_chunk(b"id: 0\ndata: a\n\n", last=True)
@@ -104,24 +104,24 @@
 class FailingReadsLink(StoreLink):
     """A connection to a store that accepts appends, while reads can be rejected or time out."""
 
-    turned_away = False
-    too_slow = False
+    reject_reads = False
+    time_out_reads = False
 
     async def async_read(self, *args: Any, **more: Any) -> Result[LogRead, StoreError]:
         """Read, unless reads are set to fail."""
-        if self.turned_away:
+        if self.reject_reads:
             return Err(StoreError(StoreProblem.REFUSED, "status 429"))
-        if self.too_slow:
+        if self.time_out_reads:
             return cast(Any, await self._async_no_answer(args[4]))
         return await super().async_read(*args, **more)
 
 
 class _Log(RelayedLog):
-    """A store connection with peers in this process; `deaf` makes all calls to peers fail."""
+    """A store connection with peers in this process; calls to peers can be set to fail."""
 
     def __init__(self, link: StoreLink, others: Mapping[str, "_Log"]) -> None:
         super().__init__(link, lambda: list(others), LoopClock(), Metrics())
-        self.deaf = False
+        self.peers_unreachable = False
         self.asked = 0
         self._others = others
 
@@ -130,7 +130,7 @@
     ) -> Result[RelayAnswer, StoreError]:
         self.asked += 1
         await asyncio.sleep(0.002)
-        if self.deaf:
+        if self.peers_unreachable:
             return Err(StoreError(StoreProblem.REFUSED, "no route"))
         return Ok(await self._others[peer].async_serve(call))
 
@@ -164,7 +164,7 @@
     def __init__(
         self,
         store: FakeStore,
-        engine: OneEngine,
+        engine: SingleEngineDispatcher,
         peers: Mapping[str, Node] | None = None,
         keep: timedelta = timedelta(seconds=180),
     ) -> None:
@@ -174,7 +174,7 @@
         versions = SimpleNamespace(
             version=lambda _up, _model: engine.version, learn=lambda *_: None
         )
-        parts = RunnerParts(
+        dependencies = RunnerDependencies(
             self.jobs,
             cast(Any, make_routes()),
             cast(Any, engine),
@@ -185,41 +185,47 @@
             "front-1",
             lambda _since: ["front-1"],
         )
-        self.runner = JobRunner(parts)
+        self.runner = JobRunner(dependencies)
         self.tasks.append(asyncio.ensure_future(self.runner.async_run()))
 
-    def cut_off(self) -> None:
+    def disconnect(self) -> None:
         """Disconnect this gateway from the store and from its peers."""
         self.link.silent = True
-        self.log.deaf = True
+        self.log.peers_unreachable = True
 
 
 @attrs.define
-class Ended:
+class StoreWithJob:
     """A store with one job, and the time at which the end of the job was recorded."""
 
     store: FakeStore
     at: float = 0.0
 
-    def end(self) -> None:
+    def end_job(self) -> None:
         """Record the end of the job, as another gateway would."""
         self.at = asyncio.get_running_loop().time()
         self.store.append("jobs", 0, encode_records([JobEnded("job-1")]))
 
-    def late(self, engine: OneEngine) -> list[float]:
+    def late_requests(self, engine: SingleEngineDispatcher) -> list[float]:
         """Return when requests reached the engine later than `CANCEL_BOUND` after the end."""
-        return [request_at for request_at in engine.reached if request_at > self.at + CANCEL_BOUND]
+        return [
+            request_at for request_at in engine.reached_at if request_at > self.at + CANCEL_BOUND
+        ]
 
 
 def make_store(
-    scored: bool = False, min_version: int = 1, kept: bool = False, versions: tuple[int, ...] = (1,)
+    scored: bool = False,
+    min_version: int = 1,
+    with_partial_text: bool = False,
+    versions: tuple[int, ...] = (1,),
 ) -> FakeStore:
     """Return a store with that job.
 
-    With `kept`, the log also has an earlier, ended job that stored 40 events of the same item.
+    With `with_partial_text`, the log also has an earlier, ended job that stored 40 events of the
+    same item.
     """
     store = FakeStore()
-    if kept:
+    if with_partial_text:
         store.append("jobs", 0, encode_records(encode_job(make_open_job(name="job-0"), "w")))
         store.append("jobs", 0, encode_records([_make_piece(versions), JobEnded("job-0")]))
     job = make_open_job(scored, min_version)
--- a/tests/jobs/test_ended_jobs.py
+++ b/tests/jobs/test_ended_jobs.py
@@ -14,7 +14,7 @@
 
 from tests.virtual_time import VirtualLoop, run_virtual
 
-from .gateway_fake import Ended, Gateway, Node, OneEngine, make_store
+from .gateway_fake import Gateway, Node, SingleEngineDispatcher, StoreWithJob, make_store
 
 
 def test_a_job_that_ended_while_a_slow_vm_took_in_what_it_had_read_is_not_begun() -> None:
@@ -25,19 +25,19 @@
     """
 
     async def scene() -> None:
-        ended, engine = Ended(make_store()), OneEngine()
+        ended, engine = StoreWithJob(make_store()), SingleEngineDispatcher()
         gateway = Gateway(ended.store, engine)
         take = gateway.jobs.book.apply
 
         def slowly(record: Any) -> None:
             take(record)
             if not ended.at:
-                ended.end()
+                ended.end_job()
                 cast(VirtualLoop, asyncio.get_running_loop()).jump(4.0)
 
         gateway.jobs.book.apply = slowly  # type: ignore[method-assign]
         await asyncio.sleep(8)
-        assert ended.late(engine) == []
+        assert ended.late_requests(engine) == []
 
     run_virtual(scene())
 
@@ -46,18 +46,18 @@
 class CutOff:
     """An engine, whether items are scored, and when the gateway is cut off and the job ends."""
 
-    engine: OneEngine
+    engine: SingleEngineDispatcher
     scored: bool
     at: float
 
 
 CUT_OFF = {
     # Runs break off, and are repeated.
-    "repeated": lambda: CutOff(OneEngine(), scored=False, at=1.0),
+    "repeated": lambda: CutOff(SingleEngineDispatcher(), scored=False, at=1.0),
     # The item waits four seconds for a place, and its turn comes.
-    "late_turn": lambda: CutOff(OneEngine(queued=4.0), scored=False, at=0.5),
+    "late_turn": lambda: CutOff(SingleEngineDispatcher(queue_s=4.0), scored=False, at=0.5),
     # The text is whole, and its scoring request is sent again and again.
-    "scored": lambda: CutOff(OneEngine(whole=1), scored=True, at=0.5),
+    "scored": lambda: CutOff(SingleEngineDispatcher(complete_runs=1), scored=True, at=0.5),
 }
 
 
@@ -71,14 +71,14 @@
 
     async def scene() -> None:
         cut = CUT_OFF[case]()
-        ended = Ended(make_store(cut.scored))
+        ended = StoreWithJob(make_store(cut.scored))
         gateway = Gateway(ended.store, cut.engine, {"peer-1": Node(ended.store)})
         await asyncio.sleep(cut.at)
-        gateway.cut_off()
-        ended.end()
+        gateway.disconnect()
+        ended.end_job()
         await asyncio.sleep(12)
-        assert cut.engine.reached or cut.engine.queued
-        assert ended.late(cut.engine) == []
+        assert cut.engine.reached_at or cut.engine.queue_s
+        assert ended.late_requests(cut.engine) == []
 
     run_virtual(scene())
 
@@ -93,7 +93,7 @@
     """
 
     async def scene() -> None:
-        engine, store = OneEngine(), make_store()
+        engine, store = SingleEngineDispatcher(), make_store()
         peer = Node(store)
         gateway = Gateway(store, engine, {"peer-1": peer})
         await asyncio.sleep(1)
@@ -101,7 +101,7 @@
             node.link.silent = silent
             node.link.refusing = lambda _topic, _part: not silent
         await asyncio.sleep(9)
-        moments = [0.0, *engine.reached, 10.0]
+        moments = [0.0, *engine.reached_at, 10.0]
         pauses = [later - sooner for sooner, later in zip(moments, moments[1:], strict=False)]
         assert max(pauses) < (5 if silent else 2)
 
--- a/tests/jobs/test_events.py
+++ b/tests/jobs/test_events.py
@@ -31,7 +31,7 @@
     """The reader must report that its buffer contains an incomplete event."""
     reader = EventReader(FIELD)
     assert [event.id for event in reader.feed(STREAM[:20])] == [1]
-    assert not reader.clean
+    assert not reader.at_event_boundary
 
 
 @pytest.mark.parametrize("malformed", [b"data: x\n\n", b"id: x\n\n", b"id: 1\ndata: \xff\n\n"])
--- a/tests/jobs/test_failing_engines.py
+++ b/tests/jobs/test_failing_engines.py
@@ -14,7 +14,7 @@
 from cranberryline.jobs.codec import encode_job, encode_records
 from cranberryline.jobs.model import Item, ItemState, Job
 from cranberryline.jobs.ports import AnswerHead
-from cranberryline.jobs.runner import JobRunner, RunnerParts
+from cranberryline.jobs.runner import JobRunner, RunnerDependencies
 from cranberryline.jobs.service import JobService
 from tests.store_fake import FakeStore, StoreLink
 from tests.virtual_time import LoopClock, run_virtual
@@ -48,7 +48,9 @@
         return Ok(candidates[0])
 
 
-def _make_parts(jobs: JobService, engines: ThreeEngines, clock: LoopClock) -> RunnerParts:
+def _make_runner_dependencies(
+    jobs: JobService, engines: ThreeEngines, clock: LoopClock
+) -> RunnerDependencies:
     route = SimpleNamespace(
         single_version=False,
         max_wait=None,
@@ -65,7 +67,9 @@
     table = SimpleNamespace(match=lambda _host, _path: route)
     stubs = (SimpleNamespace(table=table), engines, edge, versions)
     dependencies = [cast(Any, stub) for stub in stubs]
-    return RunnerParts(jobs, *dependencies, clock, Metrics(), "front-1", lambda _since: ["front-1"])
+    return RunnerDependencies(
+        jobs, *dependencies, clock, Metrics(), "front-1", lambda _since: ["front-1"]
+    )
 
 
 def test_item_does_not_alternate_between_two_failing_engines() -> None:
@@ -83,7 +87,7 @@
         store.append("jobs", 0, encode_records(encode_job(job, "w")))
         health, keep = StoreHealth(clock), timedelta(seconds=180)
         jobs = JobService(StoreLink(store), 1, clock, health, Metrics(), keep)
-        runner = JobRunner(_make_parts(jobs, engines, clock))
+        runner = JobRunner(_make_runner_dependencies(jobs, engines, clock))
         tasks = [
             asyncio.ensure_future(loop_coroutine)
             for loop_coroutine in (jobs.tails[0].async_run(), runner.async_run())
--- a/tests/jobs/test_first_reads.py
+++ b/tests/jobs/test_first_reads.py
@@ -11,8 +11,8 @@
 from cranberryline.decisions.first_reads import AT_ONCE, PAGE_KB, TURN, ReadPace
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.helpers.tail import StoreHealth
+from cranberryline.jobs.read_limiter import ReadLimiter
 from cranberryline.jobs.service import JobService
-from cranberryline.jobs.turns import Turns
 from cranberryline.ports.store import StoreError, StoreProblem
 from tests.store_fake import FakeStore, StoreLink
 from tests.virtual_time import LoopClock, run_virtual
@@ -125,7 +125,7 @@
     async def scene() -> None:
         pace, done = ReadPace(), []
         pace.at_once = 1
-        turns = Turns(pace, LoopClock())
+        turns = ReadLimiter(pace, LoopClock())
 
         def call(name: str, seconds: float) -> Callable[[timedelta], Awaitable[Any]]:
             async def read(_patience: timedelta) -> Result[None, StoreError]:
--- a/tests/jobs/test_keeper.py
+++ b/tests/jobs/test_keeper.py
@@ -16,7 +16,7 @@
 from cranberryline.jobs.const import TEXTS_PATIENCE
 from cranberryline.jobs.keeper import KEEP_EVERY, MOST_READERS
 from cranberryline.jobs.model import ItemState, JobEnded
-from tests.jobs.gateway_fake import Gateway, Node, OneEngine, make_open_job, make_store
+from tests.jobs.gateway_fake import Gateway, Node, SingleEngineDispatcher, make_open_job, make_store
 from tests.store_fake import FakeStore
 from tests.virtual_time import run_virtual
 
@@ -26,7 +26,7 @@
 TEXT_S = EVENTS * EVENT_S + 1
 
 
-class TextEngine(OneEngine):
+class TextEngine(SingleEngineDispatcher):
     """Makes a text of `EVENTS` events, behind the one that it is asked to go on from."""
 
     def __init__(self) -> None:
@@ -237,7 +237,7 @@
     """A later job asks for the group again and allows nothing below version 2."""
 
     async def scene() -> None:
-        store, engine = make_store(min_version=2, kept=True), TextEngine()
+        store, engine = make_store(min_version=2, with_partial_text=True), TextEngine()
         engine.version = 2
         gateway = Gateway(store, engine)
         await asyncio.sleep(0.5)
@@ -251,7 +251,7 @@
     """The group was not whole in time and comes again under its ids."""
 
     async def scene() -> None:
-        store, engine = make_store(min_version=1, kept=True), TextEngine()
+        store, engine = make_store(min_version=1, with_partial_text=True), TextEngine()
         gateway = Gateway(store, engine)
         await asyncio.sleep(0.5)
         assert engine.asked[0][1] == 40
@@ -268,7 +268,7 @@
     """A sound record of another writer that names none: the item is made anew, and its run does not end."""
 
     async def scene() -> None:
-        store, engine = make_store(kept=True, versions=()), TextEngine()
+        store, engine = make_store(with_partial_text=True, versions=()), TextEngine()
         gateway = Gateway(store, engine)
         assert await _async_whole(gateway) == WHOLE
         assert engine.asked[0][1] == 0
--- a/tests/jobs/test_runner.py
+++ b/tests/jobs/test_runner.py
@@ -10,7 +10,7 @@
 from cranberryline.helpers.tail import StoreHealth
 from cranberryline.jobs.codec import encode_job, encode_records
 from cranberryline.jobs.model import ItemResult, ItemState, JobEnded, JobRecord, ResultRecord
-from cranberryline.jobs.runner import JobRunner, RunnerParts
+from cranberryline.jobs.runner import JobRunner, RunnerDependencies
 from cranberryline.jobs.service import JobService
 from tests.store_fake import FakeStore, StoreLink
 from tests.virtual_time import LoopClock, run_virtual
@@ -26,7 +26,7 @@
         self.live = ["front-1"]
         keep = timedelta(seconds=180)
         self.jobs = JobService(link, 1, clock, StoreHealth(clock), metrics, keep)
-        parts = RunnerParts(
+        dependencies = RunnerDependencies(
             self.jobs,
             cast(Any, SimpleNamespace(table=object())),
             cast(Any, SimpleNamespace(places=lambda _service: 1)),
@@ -37,7 +37,7 @@
             "front-1",
             lambda _since: self.live,
         )
-        self.runner = JobRunner(parts)
+        self.runner = JobRunner(dependencies)
         self.started: list[tuple[str, int]] = []
         self.runner._start_item = (  # type: ignore[method-assign]
             lambda state, index: self.started.append((state.job.id, index))
@@ -84,7 +84,7 @@
         tail = node.jobs.tails[0]
         for at_end in (False, True):
             tail.at_end = at_end
-            node.runner._start_due()
+            node.runner._scan_all()
         assert node.started and ("job-1", 0) not in node.started
 
     run_virtual(scenario())
