--- a/cranberryline/decisions/admission.py
+++ b/cranberryline/decisions/admission.py
@@ -1,24 +1,4 @@
-"""Decide whether a request is let in, or refused at once with when to come back.
-
-Load answered: bursts, saturation, and a few callers that send most of the work. Without this a
-queue grows until every request in it is past its deadline: the upstream works at full speed and
-nobody gets an answer in time (goodput collapse), and one caller's backlog is everybody's wait.
-
-The measure is the estimated wait, not the queue's length: the tokens that will be served before
-this request, over the measured rate. Which tokens those are follows from how `queueing` orders
-work. Of the own class, caller j comes before caller i with no more than its fair part, so a
-caller that sends ten times its share waits for its own backlog and the others do not. Of the
-classes above, everything comes before, but never more than the class's floor leaves them.
-
-Thresholds: `queue_seconds` is what a caller of each class can bear (see `const`). `WAIT_MARGIN`
-is the part of that time which the estimate may fill, since callers with less work may still come
-before a request that was let in: at 1, 466 of 2,678 refusals at twice saturation came only after
-the request had waited its whole time in vain, at 0.65 it is 146 of 2,720 at the same goodput (load
-"twice saturation", 5 engines, seed 1). The service limit only bounds memory. `CALLER_SHARE` leaves
-a caller at most half of it, so that one caller cannot exhaust it. The retry hint is the time until
-the excess over the budget has drained, spread by up to a half, so that refused callers do not
-return together.
-"""
+"""Admission control: admit a request to the queue, or reject it at once with a retry hint."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -27,7 +7,7 @@
 import attrs
 
 from .const import (
-    CLASS_FLOORS,
+    CLASS_MIN_SHARES,
     DEFAULT_CALLER_WEIGHT,
     DEFAULT_QUEUE_SECONDS,
     MAX_RETRY_AFTER,
@@ -46,18 +26,30 @@
     "Refuse",
 ]
 
+# Bounds memory only; overload is limited by the estimated wait.
 DEFAULT_SERVICE_REQUESTS = 4096
-CALLER_SHARE = 0.5
-RETRY_SPREAD = 0.5
-WAIT_MARGIN = 0.65
+# Leaves room for other callers when one caller exhausts its own limit.
+MAX_CALLER_SHARE = 0.5
+# Random part of a retry hint, so that rejected callers do not all retry at the same moment.
+RETRY_JITTER = 0.5
+# Share of the allowed wait that the estimate may use. The rest is kept because requests of callers
+# with less queued work may still overtake an admitted request. With 5 engines at twice their
+# capacity and a share of 1, 466 of 2,678 rejections come only after the request has waited for its
+# whole allowed time; with 0.65 these are 146 of 2,720, at the same goodput.
+MAX_WAIT_SHARE = 0.65
 
 
 @attrs.frozen
 class AdmissionLimits:
-    """What an operator sets for a service."""
+    """Limits that an operator sets for a service.
+
+    `service_requests` and `caller_requests` limit the requests that are queued or running, in total
+    and per caller; `caller_tokens` limits their tokens per caller. `queue_seconds` is the longest
+    wait in the queue by priority class. `caller_weights` are the weights of fair queueing.
+    """
 
     service_requests: int = DEFAULT_SERVICE_REQUESTS
-    caller_requests: int = int(DEFAULT_SERVICE_REQUESTS * CALLER_SHARE)
+    caller_requests: int = int(DEFAULT_SERVICE_REQUESTS * MAX_CALLER_SHARE)
     caller_tokens: int | None = None
     queue_seconds: Mapping[Priority, timedelta] = DEFAULT_QUEUE_SECONDS
     caller_weights: Mapping[str, float] = attrs.field(factory=dict)
@@ -65,7 +57,11 @@
 
 @attrs.frozen
 class AdmissionRequest:
-    """A request as admission sees it; `remaining` is the time to its deadline."""
+    """A request that asks for admission.
+
+    `remaining` is the time until the deadline, None without a deadline; `service_time` is the
+    expected processing time.
+    """
 
     caller: str
     priority: Priority
@@ -76,9 +72,9 @@
 
 @attrs.frozen
 class AdmissionView:
-    """What is held at the moment.
+    """The queued and running work of an upstream or service at the time of the decision.
 
-    `tokens_per_second` is the upstream's capacity (see `pace`), 0 when it is not known.
+    `tokens_per_second` is the capacity of the upstream, 0 if it is not known.
     """
 
     queued: Outstanding
@@ -89,7 +85,7 @@
 
 @attrs.frozen
 class Admit:
-    """Let the request in; it must start within `start_within`."""
+    """The request is admitted and must start within `start_within`."""
 
     estimated_wait: timedelta
     start_within: timedelta
@@ -97,10 +93,10 @@
 
 @attrs.frozen
 class Refuse:
-    """Turn the request away; it was not run.
+    """The request is rejected and has not been run.
 
-    `retry_after` is None where the same request would be refused at any time, since it takes longer
-    than its deadline allows.
+    `retry_after` is None if the same request would be rejected at any time, because its processing
+    time exceeds its deadline.
     """
 
     reason: RefusalReason
@@ -109,72 +105,96 @@
 
 @attrs.frozen
 class AdmissionPolicy:
-    """Admission by limits and by estimated wait."""
+    """Admits requests by hard limits and by estimated wait.
+
+    Without admission control a queue grows until every request in it exceeds its deadline (goodput
+    collapse), and the backlog of one caller delays all others. The criterion is the estimated wait
+    and not the length of the queue: the tokens that are served before the request, divided by the
+    measured rate.
+    """
 
     limits: AdmissionLimits = AdmissionLimits()
 
     def decide(
         self, view: AdmissionView, req: AdmissionRequest, rng: Random | None = None
     ) -> Admit | Refuse:
-        """Admit a request or refuse it; `rng` spreads the retry hint."""
+        """Admit or reject a request; `rng` adds jitter to the retry hint.
+
+        The retry hint is the time in which the excess over the allowed wait drains.
+        """
         wait = self.estimated_wait(view, req)
         reason = self._limit_reached(view, req)
         if reason is not None:
             return Refuse(reason, _retry_after(wait, rng))
-        budget = self.limits.queue_seconds[req.priority]
+        allowed_wait = self.limits.queue_seconds[req.priority]
         slack = None if req.remaining is None else req.remaining - req.service_time
         if slack is not None and slack < ZERO:
             return Refuse(RefusalReason.DEADLINE, None)
-        if slack is not None and wait > slack * WAIT_MARGIN:
-            return Refuse(RefusalReason.DEADLINE, _retry_after(wait - slack * WAIT_MARGIN, rng))
-        if wait > budget * WAIT_MARGIN:
-            return Refuse(RefusalReason.QUEUE_WAIT, _retry_after(wait - budget * WAIT_MARGIN, rng))
-        return Admit(wait, budget if slack is None else min(budget, slack))
+        if slack is not None and wait > slack * MAX_WAIT_SHARE:
+            return Refuse(RefusalReason.DEADLINE, _retry_after(wait - slack * MAX_WAIT_SHARE, rng))
+        if wait > allowed_wait * MAX_WAIT_SHARE:
+            return Refuse(
+                RefusalReason.QUEUE_WAIT, _retry_after(wait - allowed_wait * MAX_WAIT_SHARE, rng)
+            )
+        return Admit(wait, allowed_wait if slack is None else min(allowed_wait, slack))
 
     def estimated_wait(self, view: AdmissionView, req: AdmissionRequest) -> timedelta:
-        """Return how long the request would wait for its start."""
+        """Return the expected time until the request starts, 0 if the capacity is not known.
+
+        All work of more urgent classes is served first, but never more than the minimum share of
+        the request's own class permits.
+        """
         if len(view.running) < view.slots and not len(view.queued):
             return ZERO
         if view.tokens_per_second <= 0:
             return ZERO
-        own = self._tokens_ahead_in_class(view.queued, req)
-        above = sum(view.queued.class_tokens(p) for p in Priority if p < req.priority)
-        waits = [own + above]
-        floor = CLASS_FLOORS[req.priority]
-        if floor:
-            waits.append(own / floor)
-        reserved = sum(
-            CLASS_FLOORS[p]
+        same_class = self._tokens_ahead_in_class(view.queued, req)
+        more_urgent = sum(view.queued.class_tokens(p) for p in Priority if p < req.priority)
+        tokens_ahead = [same_class + more_urgent]
+        min_share = CLASS_MIN_SHARES[req.priority]
+        if min_share:
+            tokens_ahead.append(same_class / min_share)
+        less_urgent_share = sum(
+            CLASS_MIN_SHARES[p]
             for p in Priority
             if p > req.priority and view.queued.class_tokens(p) > 0
         )
-        next_slot = view.running.tokens / max(view.slots, 1)
-        seconds = (min(waits) / (1 - reserved) + next_slot) / view.tokens_per_second
+        next_slot_tokens = view.running.tokens / max(view.slots, 1)
+        seconds = (
+            min(tokens_ahead) / (1 - less_urgent_share) + next_slot_tokens
+        ) / view.tokens_per_second
         return timedelta(seconds=seconds)
 
     def _tokens_ahead_in_class(self, queued: Outstanding, req: AdmissionRequest) -> float:
-        callers = queued.caller_tokens(req.priority)
-        own_queued = callers.get(req.caller, 0)
-        own_turn = (own_queued + req.tokens) / self._weight(req.caller)
+        """Return the tokens of the same class that fair queueing serves before the request.
+
+        Each other caller is served at most in proportion to its weight, so a caller with a large
+        backlog waits for its own work and does not delay the others.
+        """
+        tokens_by_caller = queued.caller_tokens(req.priority)
+        own_queued = tokens_by_caller.get(req.caller, 0)
+        own_virtual_time = (own_queued + req.tokens) / self._weight(req.caller)
         others = sum(
-            min(tokens, own_turn * self._weight(caller))
-            for caller, tokens in callers.items()
+            min(tokens, own_virtual_time * self._weight(caller))
+            for caller, tokens in tokens_by_caller.items()
             if caller != req.caller
         )
         return own_queued + others
 
     def _limit_reached(self, view: AdmissionView, req: AdmissionRequest) -> RefusalReason | None:
-        held = len(view.queued) + len(view.running)
-        if held >= self.limits.service_requests:
+        outstanding = len(view.queued) + len(view.running)
+        if outstanding >= self.limits.service_requests:
             return RefusalReason.SERVICE_LIMIT
-        own = view.queued.caller_requests(req.caller) + view.running.caller_requests(req.caller)
-        if own >= self.limits.caller_requests:
+        from_caller = view.queued.caller_requests(req.caller) + view.running.caller_requests(
+            req.caller
+        )
+        if from_caller >= self.limits.caller_requests:
             return RefusalReason.CALLER_LIMIT
         if self.limits.caller_tokens is None:
             return None
         tokens = sum(
-            held.caller_tokens(priority).get(req.caller, 0)
-            for held in (view.queued, view.running)
+            work.caller_tokens(priority).get(req.caller, 0)
+            for work in (view.queued, view.running)
             for priority in Priority
         )
         if tokens + req.tokens > self.limits.caller_tokens:
@@ -186,5 +206,5 @@
 
 
 def _retry_after(excess: timedelta, rng: Random | None) -> timedelta:
-    spread = 1.0 if rng is None else 1.0 + RETRY_SPREAD * rng.random()
-    return min(max(excess * spread, MIN_RETRY_AFTER), MAX_RETRY_AFTER)
+    jitter = 1.0 if rng is None else 1.0 + RETRY_JITTER * rng.random()
+    return min(max(excess * jitter, MIN_RETRY_AFTER), MAX_RETRY_AFTER)
--- a/cranberryline/decisions/blame.py
+++ b/cranberryline/decisions/blame.py
@@ -1,19 +1,4 @@
-"""Decide which requests are held because upstreams crash while they run them.
-
-Load answered: a request that crashes each upstream that begins to run it, and that its caller repeats at
-any gateway. Judged one attempt at a time, each repetition and each copy takes another upstream along, until
-a service has none left for anybody.
-
-A request is held once `HELD_AFTER` upstreams have crashed under it. Beside it run others, which must be
-served: a crash is not counted against a request while another one that was there is held and is blamed for
-more crashes, and one answer clears a request of everything. A request that is held cannot be answered, so
-it gets a trial of one run, first after `FIRST_TRIAL` and then ever more seldom. Where the crashes may have
-another cause the first trial comes after `EARLY_TRIAL`: another request was at all the same upstreams, or
-another upstream crashed at about the same time, without this request.
-
-What is known ends by itself: crashes under a request that was never held after `SUSPECTED_FOR`, those of a
-held one after `HELD_FOR`. More than `MAX_REQUESTS` are not remembered; the least blamed and oldest go first.
-"""
+"""Attribution of upstream crashes to requests, and quarantine of requests that cause them."""
 
 from collections import OrderedDict
 from datetime import timedelta
@@ -22,24 +7,24 @@
 
 from .const import ZERO
 
-__all__ = ["HELD_AFTER", "CrashBlame", "Hold"]
+__all__ = ["HOLD_AFTER_CRASHES", "CrashBlame", "Hold"]
 
-HELD_AFTER = 3
-EARLY_TRIAL = timedelta(seconds=1)
-TOGETHER = timedelta(milliseconds=500)
+HOLD_AFTER_CRASHES = 3
+EARLY_TRIAL_DELAY = timedelta(seconds=1)
+SIMULTANEOUS_CRASH_WINDOW = timedelta(milliseconds=500)
 FIRST_TRIAL = timedelta(seconds=20)
-TRIAL_GROWTH = 20
-MAX_GROWTHS = 5
-MAX_TRIAL = timedelta(hours=1)
+TRIAL_DELAY_FACTOR = 20
+MAX_TRIAL_DELAY_STEPS = 5
+MAX_TRIAL_DELAY = timedelta(hours=1)
 SUSPECTED_FOR = timedelta(minutes=10)
 HELD_FOR = timedelta(hours=6)
 MAX_REQUESTS = 1000
-MAX_CRASHES = 16
+MAX_CRASHES_PER_REQUEST = 16
 
 
 @attrs.frozen
 class Hold:
-    """A request that is held: the upstreams that crashed under it, and when its next trial is due."""
+    """Quarantine of a request: the upstreams that crashed, and the time of its next trial run."""
 
     upstreams: tuple[str, ...]
     trials: int
@@ -47,143 +32,171 @@
 
 
 @attrs.define
-class _Suspect:
-    """The crashes under one request, by upstream, each with the moment on which its age counts."""
+class _CrashHistory:
+    """Crashes under one request: their times by upstream, and the trial runs so far.
+
+    `updated_at` is the time of the last crash report or trial, from which the delay of the next
+    trial counts.
+    """
 
     crashes: dict[str, timedelta] = attrs.field(factory=dict)
     trials: int = 0
     early_trials: int = 0
-    newest: timedelta = ZERO
+    updated_at: timedelta = ZERO
 
 
 class CrashBlame:
-    """What is known of crashes, by the request that ran and by the upstream; requests go by fingerprint."""
+    """Counts the upstreams that crashed under each request and quarantines requests.
+
+    A request that crashes every upstream that runs it, and that its caller resends through any
+    gateway, would take down all upstreams of a service if each attempt were judged alone. It is
+    held (quarantined) once `HOLD_AFTER_CRASHES` upstreams have crashed under it.
+
+    Requests that ran at the same time must still be served. A crash does not count against a
+    request if another request that ran there is held and has more crashes, and one answer clears a
+    request. A held request cannot be answered, so single trial runs are permitted: the first after
+    `FIRST_TRIAL`, later ones after increasing delays. The first one is permitted after
+    `EARLY_TRIAL_DELAY` if the crashes may have another cause: another request ran on all the same
+    upstreams, or an upstream that did not run this request crashed at about the same time.
+
+    Crashes expire after `SUSPECTED_FOR`, those of held requests after `HELD_FOR`. At most
+    `MAX_REQUESTS` requests are stored; those with the fewest crashes are evicted first, the oldest
+    before the others. Requests are identified by their fingerprints.
+    """
 
     def __init__(self) -> None:
-        self._suspects: OrderedDict[str, _Suspect] = OrderedDict()
-        self._at: dict[str, set[str]] = {}
-        self._when: dict[str, timedelta] = {}
+        self._histories: OrderedDict[str, _CrashHistory] = OrderedDict()
+        self._requests_by_upstream: dict[str, set[str]] = {}
+        self._crashed_at: dict[str, timedelta] = {}
 
     def __len__(self) -> int:
-        """Count the requests under which an upstream has crashed."""
-        return len(self._suspects)
+        """Return the number of requests under which an upstream has crashed."""
+        return len(self._histories)
 
     def __contains__(self, request: str) -> bool:
-        """Tell whether an upstream has crashed under a request."""
-        return request in self._suspects
+        """Return whether an upstream has crashed under a request."""
+        return request in self._histories
 
     def crashes(self, request: str) -> tuple[str, ...]:
         """Return the upstreams that crashed under a request."""
-        suspect = self._suspects.get(request)
-        return () if suspect is None else tuple(suspect.crashes)
+        history = self._histories.get(request)
+        return () if history is None else tuple(history.crashes)
 
     def crashed(self, request: str, upstream: str, now: timedelta, age: timedelta = ZERO) -> bool:
-        """Note that an upstream crashed under a request `age` ago; False if nothing is new in that."""
-        suspect = self._suspects.get(request)
-        if suspect is None:
-            self._make_room()
-            suspect = self._suspects[request] = _Suspect()
-        if upstream in suspect.crashes or len(suspect.crashes) >= MAX_CRASHES:
+        """Record that an upstream crashed under a request `age` ago; return whether this is new."""
+        history = self._histories.get(request)
+        if history is None:
+            self._evict_if_full()
+            history = self._histories[request] = _CrashHistory()
+        if upstream in history.crashes or len(history.crashes) >= MAX_CRASHES_PER_REQUEST:
             return False
-        suspect.crashes[upstream] = now - age
-        suspect.newest = now
-        self._at.setdefault(upstream, set()).add(request)
-        self._when.setdefault(upstream, now - age)
+        history.crashes[upstream] = now - age
+        history.updated_at = now
+        self._requests_by_upstream.setdefault(upstream, set()).add(request)
+        self._crashed_at.setdefault(upstream, now - age)
         return True
 
     def tried(self, request: str, trials: int, now: timedelta) -> None:
-        """Note that a held request gets its trial of that number."""
-        suspect = self._suspects.get(request)
-        if suspect is None or trials <= suspect.trials:
+        """Record the start of a trial run; `trials` counts the trials up to and including it."""
+        history = self._histories.get(request)
+        if history is None or trials <= history.trials:
             return
-        suspect.early_trials = int(self._early(request, suspect)) or suspect.early_trials
-        suspect.trials, suspect.newest = trials, now
+        history.early_trials = int(self._trial_is_early(request, history)) or history.early_trials
+        history.trials, history.updated_at = trials, now
 
     def forget(self, request: str, upstream: str) -> None:
-        """Take one crash back."""
-        suspect = self._suspects.get(request)
-        if suspect is None or suspect.crashes.pop(upstream, None) is None:
+        """Remove one crash."""
+        history = self._histories.get(request)
+        if history is None or history.crashes.pop(upstream, None) is None:
             return
-        self._leave(request, upstream)
-        if not suspect.crashes:
-            del self._suspects[request]
+        self._remove_from_upstream(request, upstream)
+        if not history.crashes:
+            del self._histories[request]
 
     def clear(self, request: str) -> tuple[str, ...]:
-        """Forget all crashes under a request, and return the upstreams."""
-        suspect = self._suspects.pop(request, None)
-        if suspect is None:
+        """Remove all crashes of a request, and return their upstreams."""
+        history = self._histories.pop(request, None)
+        if history is None:
             return ()
-        for upstream in suspect.crashes:
-            self._leave(request, upstream)
-        return tuple(suspect.crashes)
+        for upstream in history.crashes:
+            self._remove_from_upstream(request, upstream)
+        return tuple(history.crashes)
 
     def hold(self, request: str) -> Hold | None:
-        """Return how a request is held, None if it may run."""
-        suspect = self._suspects.get(request)
-        if suspect is None or self._counted(request, suspect) < HELD_AFTER:
+        """Return the quarantine of a request, or None if the request may run."""
+        history = self._histories.get(request)
+        if history is None or self._count_unexplained(request, history) < HOLD_AFTER_CRASHES:
             return None
-        delay = EARLY_TRIAL if self._early(request, suspect) else _trial_delay(suspect)
-        trial_at = suspect.newest + delay
-        return Hold(tuple(suspect.crashes), suspect.trials, trial_at)
+        delay = (
+            EARLY_TRIAL_DELAY if self._trial_is_early(request, history) else _trial_delay(history)
+        )
+        trial_at = history.updated_at + delay
+        return Hold(tuple(history.crashes), history.trials, trial_at)
 
     def held(self) -> list[str]:
         """Return the requests that are held."""
-        return [request for request in self._suspects if self.hold(request) is not None]
+        return [request for request in self._histories if self.hold(request) is not None]
 
     def expire(self, now: timedelta) -> list[tuple[str, str]]:
-        """Forget what is too old, and return it as pairs of request and upstream."""
-        old = [
+        """Remove the crashes that are too old, and return them as pairs of request and upstream."""
+        expired = [
             (request, upstream)
-            for request, suspect in self._suspects.items()
-            for upstream, at in suspect.crashes.items()
-            if now - at >= (HELD_FOR if len(suspect.crashes) >= HELD_AFTER else SUSPECTED_FOR)
+            for request, history in self._histories.items()
+            for upstream, at in history.crashes.items()
+            if now - at
+            >= (HELD_FOR if len(history.crashes) >= HOLD_AFTER_CRASHES else SUSPECTED_FOR)
         ]
-        for request, upstream in old:
+        for request, upstream in expired:
             self.forget(request, upstream)
-        return old
-
-    def _counted(self, request: str, suspect: _Suspect) -> int:
-        """Count the crashes under a request that nothing else explains."""
-        blamed = len(suspect.crashes)
-        if blamed < HELD_AFTER:
-            return blamed
-        return sum(not self._explained(upstream, blamed) for upstream in suspect.crashes)
-
-    def _explained(self, upstream: str, blamed: int) -> bool:
-        most = max(len(self._suspects[other].crashes) for other in self._at[upstream])
-        return most > max(blamed, HELD_AFTER - 1)
-
-    def _early(self, request: str, suspect: _Suspect) -> bool:
-        """Tell whether the next trial is the first one, and something else may have caused the crashes."""
-        if suspect.trials or not suspect.crashes:
+        return expired
+
+    def _count_unexplained(self, request: str, history: _CrashHistory) -> int:
+        """Return the number of crashes that no other request explains."""
+        crashes = len(history.crashes)
+        if crashes < HOLD_AFTER_CRASHES:
+            return crashes
+        return sum(not self._is_explained(upstream, crashes) for upstream in history.crashes)
+
+    def _is_explained(self, upstream: str, crashes: int) -> bool:
+        """Return whether a request with more crashes ran on an upstream when it crashed."""
+        most = max(
+            len(self._histories[other].crashes) for other in self._requests_by_upstream[upstream]
+        )
+        return most > max(crashes, HOLD_AFTER_CRASHES - 1)
+
+    def _trial_is_early(self, request: str, history: _CrashHistory) -> bool:
+        """Return whether the next trial is the first and the crashes may have another cause."""
+        if history.trials or not history.crashes:
             return False
-        shared = set.intersection(*(self._at[upstream] for upstream in suspect.crashes))
+        shared = set.intersection(
+            *(self._requests_by_upstream[upstream] for upstream in history.crashes)
+        )
         if shared - {request}:
             return True
-        return any(self._others_near(upstream, suspect) for upstream in suspect.crashes)
+        return any(self._crashed_with_others(upstream, history) for upstream in history.crashes)
 
-    def _others_near(self, upstream: str, suspect: _Suspect) -> bool:
-        """Tell whether an upstream crashed together with another at which the suspect was not."""
-        when = self._when[upstream]
+    def _crashed_with_others(self, upstream: str, history: _CrashHistory) -> bool:
+        """Return whether an upstream that did not run the request crashed at about that time."""
+        crashed_at = self._crashed_at[upstream]
         return any(
-            abs(at - when) <= TOGETHER and other not in suspect.crashes
-            for other, at in self._when.items()
+            abs(at - crashed_at) <= SIMULTANEOUS_CRASH_WINDOW and other not in history.crashes
+            for other, at in self._crashed_at.items()
         )
 
-    def _leave(self, request: str, upstream: str) -> None:
-        there = self._at[upstream]
-        there.discard(request)
-        if not there:
-            del self._at[upstream]
-            del self._when[upstream]
+    def _remove_from_upstream(self, request: str, upstream: str) -> None:
+        requests = self._requests_by_upstream[upstream]
+        requests.discard(request)
+        if not requests:
+            del self._requests_by_upstream[upstream]
+            del self._crashed_at[upstream]
 
-    def _make_room(self) -> None:
-        if len(self._suspects) < MAX_REQUESTS:
+    def _evict_if_full(self) -> None:
+        if len(self._histories) < MAX_REQUESTS:
             return
-        least = min(self._suspects, key=lambda request: len(self._suspects[request].crashes))
-        self.clear(least)
+        fewest = min(self._histories, key=lambda request: len(self._histories[request].crashes))
+        self.clear(fewest)
 
 
-def _trial_delay(suspect: _Suspect) -> timedelta:
-    growths = min(suspect.trials - suspect.early_trials, MAX_GROWTHS)
-    return min(FIRST_TRIAL * TRIAL_GROWTH**growths, MAX_TRIAL)
+def _trial_delay(history: _CrashHistory) -> timedelta:
+    steps = min(history.trials - history.early_trials, MAX_TRIAL_DELAY_STEPS)
+    return min(FIRST_TRIAL * TRIAL_DELAY_FACTOR**steps, MAX_TRIAL_DELAY)
--- a/cranberryline/decisions/come_back.py
+++ b/cranberryline/decisions/come_back.py
@@ -1,24 +1,23 @@
-"""Decide when a caller whose job the store did not take should come back.
-
-Load answered: the store is out for seconds, and every trainer submits its step meanwhile. Callers go on
-asking for half of their time limit, some six seconds, and a wait that reaches over the end of that loses
-the step: with waits of two seconds a step was given up a second after the store's return. Told to
-come back at once, all callers' tries would meet in the first moment of a store that has just come back.
-
-The wait is `SHARE` of the outage's age, within `SOONEST` and `LATEST`: never more than an eighth of the time
-for which callers ask, and over a long outage half as many tries as at its start. It is no promise that the
-store is back.
-"""
+"""Retry delay for callers whose job could not be stored during an outage of the store."""
 
 from datetime import timedelta
 
 __all__ = ["LATEST", "SOONEST", "come_back_after"]
 
-SHARE = 0.1
+RETRY_AFTER_OUTAGE_SHARE = 0.1
+# Spreads the retries of all callers, which would otherwise arrive together in the first moment
+# after the store has recovered.
 SOONEST = timedelta(milliseconds=300)
+# Callers retry for half of their timeout, about 6 s, and lose the training step if a delay exceeds
+# the rest of that time. With delays of 2 s, callers gave up 1 s after the store had recovered. This
+# limit is at most an eighth of that time.
 LATEST = timedelta(milliseconds=700)
 
 
 def come_back_after(outage: timedelta) -> timedelta:
-    """Return how long a refused caller should wait, by the age of the outage."""
-    return min(max(outage * SHARE, SOONEST), LATEST)
+    """Return the retry delay for an outage of this age.
+
+    The delay grows with the age, so callers retry half as often in a long outage as at its start.
+    It does not guarantee that the store has recovered by then.
+    """
+    return min(max(outage * RETRY_AFTER_OUTAGE_SHARE, SOONEST), LATEST)
--- a/cranberryline/decisions/const.py
+++ b/cranberryline/decisions/const.py
@@ -1,11 +1,11 @@
-"""Constants that more than one decision shares."""
+"""Constants that several decisions share."""
 
 from datetime import timedelta
 
 from .model import Priority
 
 __all__ = [
-    "CLASS_FLOORS",
+    "CLASS_MIN_SHARES",
     "DEFAULT_CALLER_WEIGHT",
     "DEFAULT_LONG_TOKENS",
     "DEFAULT_QUEUE_SECONDS",
@@ -16,12 +16,12 @@
 
 ZERO = timedelta()
 
-# The share of an upstream that a backlogged class gets whatever the classes above it ask for. A
-# fifth keeps a trainer's step moving at a fifth of its pace through a rush of application calls;
-# a twentieth is enough for background work to finish some time.
-CLASS_FLOORS = {Priority.APPLICATION: 0.0, Priority.TRAINER: 0.2, Priority.BACKGROUND: 0.05}
+# Share of an upstream's capacity that a class with queued work gets even if more urgent classes
+# could use all of it. With a fifth, a training step continues at a fifth of its speed during a peak
+# of application calls; a twentieth lets background work finish eventually.
+CLASS_MIN_SHARES = {Priority.APPLICATION: 0.0, Priority.TRAINER: 0.2, Priority.BACKGROUND: 0.05}
 
-# How long a request may wait for its start: a person waits seconds, a step minutes.
+# Longest wait in the queue: a person waits for seconds, a training step for minutes.
 DEFAULT_QUEUE_SECONDS = {
     Priority.APPLICATION: timedelta(seconds=5),
     Priority.TRAINER: timedelta(seconds=60),
@@ -29,6 +29,7 @@
 }
 
 DEFAULT_CALLER_WEIGHT = 1.0
+# Requests with more tokens than this count as long.
 DEFAULT_LONG_TOKENS = 1024
 
 MIN_RETRY_AFTER = timedelta(milliseconds=100)
--- a/cranberryline/decisions/elsewhere.py
+++ b/cranberryline/decisions/elsewhere.py
@@ -1,18 +1,17 @@
-"""Choose where not to send work again that an upstream spoiled.
-
-Load answered: upstreams that answer and spoil what they are given, so that their health looks good
-and prefix affinity brings the same work back to them. Avoiding the last one alone, two of them pass
-the work to and fro for ever; avoiding all that ever failed, the first of them by prefix is asked
-for good once every one has failed.
-"""
+"""Upstreams to exclude when work is retried after a failure."""
 
 __all__ = ["avoid_next"]
 
 
 def avoid_next(avoided: frozenset[str], failed: str) -> frozenset[str]:
-    """Return what to avoid after a failure: all that failed in this round.
+    """Return the upstreams to exclude after a failure: all that failed in the current round.
+
+    An excluded upstream is used only if no other is left; if it fails again, a new round starts
+    with it. So every available upstream is tried before one is tried again.
 
-    An upstream that failed although it was to be avoided was asked because there was no other, so a
-    new round begins with it. Every upstream that is free is asked before one is asked again.
+    Upstreams that answer but return broken results appear healthy, and prefix affinity selects them
+    again for the same work. If only the last one were excluded, two of them could alternate without
+    end; if all that ever failed were excluded, only the first one by prefix would be tried once all
+    have failed.
     """
     return frozenset({failed}) if failed in avoided else avoided | {failed}
--- a/cranberryline/decisions/errors.py
+++ b/cranberryline/decisions/errors.py
@@ -1,11 +1,11 @@
-"""Errors of the decisions: a rule that cannot be applied to what it was given."""
+"""Errors that decisions raise for invalid input."""
 
 __all__ = ["DecisionError", "DuplicateItemError"]
 
 
 class DecisionError(Exception):
-    """Raise when a decision was asked for something that has no answer."""
+    """Raised when a decision is not possible for the given input."""
 
 
 class DuplicateItemError(DecisionError):
-    """Raise when an item is queued under an id that is already held."""
+    """Raised when a work item is added under an id that is already in use."""
--- a/cranberryline/decisions/health.py
+++ b/cranberryline/decisions/health.py
@@ -1,18 +1,4 @@
-"""Draw down an upstream that fails, and probe it back gently.
-
-Load answered: an upstream that fails quickly or crawls. Least-outstanding routing is drawn to an
-upstream that fails at once, since its work never stays outstanding: one broken upstream of eight
-then takes most of the requests. Sending it everything again at the first success is as bad: it
-falls over anew.
-
-Each failure halves the weight, so four in a row leave a sixteenth and routing hardly chooses it;
-below `MIN_WEIGHT` nothing but one probe an interval goes there, and the interval doubles to
-`MAX_PROBE_INTERVAL`, so a dead upstream costs one attempt in 30 s. Each success while drawn down
-adds `RECOVERY_STEP`, so the way back takes a dozen good answers. A failure that says nothing of
-the upstream (a refusal by its queue, a caller's cancel) must not be observed here.
-
-How fast an upstream works is not judged here: `routing` divides by its measured rate.
-"""
+"""Passive health checks: reduce the weight of a failing upstream and restore it gradually."""
 
 from datetime import timedelta
 
@@ -22,16 +8,26 @@
 
 __all__ = ["HealthPolicy", "HealthState", "HealthView"]
 
+# Four consecutive failures reduce the weight to a sixteenth, so that routing hardly ever selects
+# the upstream.
 FAILURE_FACTOR = 0.5
+# A full recovery takes twelve successes: an upstream that gets all of its traffic back after the
+# first success is overloaded again.
 RECOVERY_STEP = 0.08
+# At or below this weight the upstream gets no requests except probes.
 MIN_WEIGHT = 0.07
 FIRST_PROBE_INTERVAL = timedelta(seconds=1)
+# An unreachable upstream costs one failed attempt in 30 s.
 MAX_PROBE_INTERVAL = timedelta(seconds=30)
 
 
 @attrs.frozen
 class HealthState:
-    """What is remembered of an upstream's answers."""
+    """Health of one upstream, as derived from the outcomes of its requests.
+
+    `probe_at` is the earliest time of the next probe, `failed_at` the time of the last failure that
+    was counted.
+    """
 
     weight: float = 1.0
     probe_interval: timedelta = FIRST_PROBE_INTERVAL
@@ -41,20 +37,26 @@
 
 @attrs.frozen
 class HealthView:
-    """What routing needs: a weight from 0 to 1, and whether a probe is due."""
+    """Health as routing uses it: a weight from 0 to 1, and whether a probe is due."""
 
     weight: float = 1.0
     probe_due: bool = False
 
     @property
     def usable(self) -> bool:
-        """Return whether the upstream may be chosen at all."""
+        """Return whether the upstream may be selected."""
         return self.weight > 0 or self.probe_due
 
 
 @attrs.frozen
 class HealthPolicy:
-    """How answers change an upstream's health."""
+    """Updates the health of an upstream after each outcome, with back-off between probes.
+
+    Least-outstanding routing prefers an upstream that fails immediately, because its requests never
+    stay outstanding: one broken upstream of eight then receives most of the requests. Failures that
+    say nothing about the upstream (its queue rejected the request, or the caller cancelled) must
+    not be recorded. Speed is not considered here: routing divides by the measured rate.
+    """
 
     failure_factor: float = FAILURE_FACTOR
     recovery_step: float = RECOVERY_STEP
@@ -62,18 +64,18 @@
     max_probe_interval: timedelta = MAX_PROBE_INTERVAL
 
     def succeeded(self, state: HealthState) -> HealthState:
-        """Return the state after a good answer."""
+        """Return the state after a successful request."""
         weight = min(1.0, max(state.weight, self.min_weight) + self.recovery_step)
         return HealthState(weight, failed_at=state.failed_at)
 
     def failed(
         self, state: HealthState, now: timedelta, sent: timedelta | None = None
     ) -> HealthState:
-        """Return the state after a failure of the upstream; `sent` is when the work went there.
+        """Return the state after a failed request that was sent to the upstream at `sent`.
 
-        One crash or lost connection fails all that was on it at once. Counted one by one, thirty
-        requests would put the upstream on the longest probe interval, so work that was sent before
-        the last failure that counted says nothing new.
+        A crash or a lost connection fails all requests in flight at once. If each of them counted,
+        thirty requests would raise the probe interval to its maximum, so failures of requests that
+        were sent before the last counted failure are ignored.
         """
         if sent is not None and state.failed_at is not None and sent <= state.failed_at:
             return state
@@ -86,11 +88,11 @@
         return HealthState(weight, interval, now + interval, now)
 
     def probed(self, state: HealthState, now: timedelta) -> HealthState:
-        """Return the state after a probe was sent, so that no second one goes with it."""
+        """Return the state after a probe was sent, which defers the next probe by one interval."""
         return attrs.evolve(state, probe_at=now + state.probe_interval)
 
     def view(self, state: HealthState, now: timedelta) -> HealthView:
-        """Return what routing needs to know."""
+        """Return the health as routing uses it."""
         if state.weight > self.min_weight:
             return HealthView(state.weight)
         return HealthView(0.0, probe_due=now >= state.probe_at)
--- a/cranberryline/decisions/model.py
+++ b/cranberryline/decisions/model.py
@@ -1,7 +1,7 @@
-"""What the decisions share: classes of work, and a piece of work as they see it.
+"""Types that several decisions share: priority classes, outcomes and work items.
 
-Times are readings of the monotonic clock of the process that decides. Work is counted in tokens,
-prompt and expected output; a call to a plain service counts as one token.
+Times are readings of the local monotonic clock. Work is measured in tokens: those of the prompt
+plus those of the expected output. A call to a plain HTTP service counts as one token.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class Priority(enum.IntEnum):
-    """The classes of work, most urgent first."""
+    """Priority classes, the most urgent first."""
 
     APPLICATION = 0
     TRAINER = 1
@@ -21,27 +21,27 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request was refused before it ran."""
+    """Reason why a request was rejected before it ran."""
 
     CALLER_LIMIT = "caller_limit"
     SERVICE_LIMIT = "service_limit"
-    QUEUE_WAIT = "queue_wait"
+    QUEUE_WAIT = "queue_wait"  # the estimated wait exceeds the limit of the priority class
     DEADLINE = "deadline"
-    EXPIRED = "expired"
+    EXPIRED = "expired"  # it was queued and could not start in time
     NO_UPSTREAM = "no_upstream"
 
 
 class AttemptOutcome(enum.StrEnum):
-    """What is known of an attempt that brought no answer."""
+    """What is known about an attempt that returned no answer."""
 
-    NOT_RUN = "not_run"  # proved by the process that held it
-    FAILED = "failed"  # it ran, and its failure is known
+    NOT_RUN = "not_run"  # confirmed by the process that queued the request
+    FAILED = "failed"  # it ran, and the failure is known
     UNKNOWN = "unknown"  # it may have run
 
 
 @attrs.frozen
 class WorkItem:
-    """One request that waits or runs; `start_by` is the latest start that is of use."""
+    """A request that is queued or running; `start_by` is the latest useful start time."""
 
     id: int | str
     caller: str
--- a/cranberryline/decisions/pace.py
+++ b/cranberryline/decisions/pace.py
@@ -1,57 +1,57 @@
-"""Measure how fast an upstream works.
-
-Load answered: an upstream that becomes slow, or that is faster than its peers. Without a measured
-rate an estimated wait is a guess, and admission lets in what cannot be served in time.
-
-A side process keeps two meters and records into them once a tick (half a second is enough):
-
-- *pace*, of one request: the tokens made, over the seconds that requests ran, summed over them.
-  Tokens over wall-clock time would call an upstream slow that is merely asked little, and routing
-  would then ask it less still.
-- *capacity*, of the whole: the tokens made, over the seconds in which all slots were taken.
-
-The half-life of 5 s is a few ticks and about one short request: a shorter one follows the jitter of
-single tokens, a longer one keeps sending to an upstream that has stalled. What was last measured
-`FORGET_AFTER` ago says nothing about now, and an upstream that was slow then is tried again.
-"""
+"""Measured processing rate of an upstream in tokens per second."""
 
 from datetime import timedelta
 
 from .const import ZERO
 
-__all__ = ["DEFAULT_HALF_LIFE", "FORGET_AFTER", "RateMeter"]
+__all__ = ["DEFAULT_HALF_LIFE", "MEASUREMENT_TTL", "RateMeter"]
 
+# A few recording intervals and about one short request: a shorter half-life follows the jitter of
+# single tokens, a longer one keeps sending requests to an upstream that has stalled.
 DEFAULT_HALF_LIFE = timedelta(seconds=5)
-FORGET_AFTER = timedelta(seconds=30)
+# An older measurement says nothing about the current rate, so that an upstream that was slow gets
+# requests again.
+MEASUREMENT_TTL = timedelta(seconds=30)
 STALLED_TOKENS_PER_SECOND = 0.01
 
 
 class RateMeter:
-    """Tokens a second, recent measurements weighing more."""
+    """Exponentially weighted average of tokens per second.
+
+    A side process keeps two meters per upstream and records into them about twice a second. The
+    per-request rate divides the generated tokens by the running time summed over all requests;
+    tokens per wall-clock time would make an upstream with few requests appear slow, and routing
+    would send it even fewer. The capacity divides the generated tokens by the time in which all
+    slots were in use.
+    """
 
     def __init__(
-        self, half_life: timedelta = DEFAULT_HALF_LIFE, forget_after: timedelta = FORGET_AFTER
+        self, half_life: timedelta = DEFAULT_HALF_LIFE, measurement_ttl: timedelta = MEASUREMENT_TTL
     ) -> None:
         self._half_life = half_life
-        self._forget_after = forget_after
+        self._measurement_ttl = measurement_ttl
         self._tokens = 0.0
         self._seconds = 0.0
-        self._last: timedelta | None = None
+        self._recorded_at: timedelta | None = None
 
     def record(self, tokens: float, spent: timedelta, now: timedelta) -> None:
-        """Count tokens and the time spent on them; time without a token counts too."""
+        """Record tokens and the time spent on them; time without any token counts as well."""
         if spent <= ZERO:
             return
-        kept = 0.0 if self._last is None else 0.5 ** ((now - self._last) / self._half_life)
-        self._tokens = self._tokens * kept + tokens
-        self._seconds = self._seconds * kept + spent.total_seconds()
-        self._last = now
+        decay = (
+            0.0
+            if self._recorded_at is None
+            else 0.5 ** ((now - self._recorded_at) / self._half_life)
+        )
+        self._tokens = self._tokens * decay + tokens
+        self._seconds = self._seconds * decay + spent.total_seconds()
+        self._recorded_at = now
 
     def tokens_per_second(self, now: timedelta) -> float:
-        """Return the rate, or 0 when there is no recent measurement.
+        """Return the rate, or 0 if there is no recent measurement.
 
-        A stalled upstream has a very low rate and not 0, so that it is not taken for unknown.
+        The rate of a stalled upstream is very low but not 0, because 0 means unknown.
         """
-        if self._last is None or now - self._last > self._forget_after:
+        if self._recorded_at is None or now - self._recorded_at > self._measurement_ttl:
             return 0.0
         return max(self._tokens / self._seconds, STALLED_TOKENS_PER_SECOND)
--- a/cranberryline/decisions/queueing.py
+++ b/cranberryline/decisions/queueing.py
@@ -1,29 +1,4 @@
-"""Order the work that waits for a slot of an upstream.
-
-Load answered: more work than slots, from unlike callers, in unlike sizes. First-in-first-out goes
-wrong three ways: a caller's burst is everybody's wait; application calls stand behind a step's
-samples; and long generations take all slots, so that short calls wait for minutes.
-
-Order: the most urgent class first, but a waiting class earns its floor of every token dispatched
-and goes first once it has earned the head item (so no class starves). Within a class callers share
-by start-time fair queueing in tokens: the caller whose virtual time is lowest goes first. A
-caller's long work waits in a lane of its own, so that it does not hold up the caller's short work.
-
-Three reserves keep the last slots for those who would otherwise wait for one to be freed:
-
-- Long work may take all slots but `SHORT_RESERVE` of them.
-- Classes below application may take all but `URGENT_RESERVE`.
-- A caller that runs more than its share may take all but `FAIR_RESERVE`.
-
-Each holds only while work of the other kind was seen within `RESERVE_MEMORY`; an upstream that sees
-none is used in full. An eighth is enough because what it is kept for leaves its slot quickly or
-comes seldom: of 16 slots, two that serve calls 32 times shorter than the rest do four times as many
-as the other fourteen together. Measured on one seed of the load "heavy caller": with `FAIR_RESERVE`
-the others' median wait for a slot is 0.06 s, without it 0.36 s.
-
-The wait is bounded: an item past `start_by` is never popped, and `expire` hands it over to be
-refused, which is safe because an item that was not popped has not run.
-"""
+"""Priority and fair queueing of work items that wait for a slot of an upstream."""
 
 import heapq
 from collections import deque
@@ -32,22 +7,29 @@
 
 import attrs
 
-from .const import CLASS_FLOORS, DEFAULT_CALLER_WEIGHT, DEFAULT_LONG_TOKENS
+from .const import CLASS_MIN_SHARES, DEFAULT_CALLER_WEIGHT, DEFAULT_LONG_TOKENS
 from .errors import DuplicateItemError
 from .model import Priority, WorkItem
 from .outstanding import Outstanding
 
 __all__ = ["QueueSettings", "WorkQueue", "slots_for"]
 
+# Shares of the slots that are reserved for short items, for application calls, and for callers that
+# run no more than their fair share. An eighth is enough because such items release their slot
+# quickly or arrive rarely: of 16 slots, the two that serve calls 32 times shorter than the rest
+# complete four times as many items as the other fourteen.
 SHORT_RESERVE = 1 / 8
 URGENT_RESERVE = 1 / 8
+# With one caller that sends most of the work, this reserve reduces the median wait of the other
+# callers from 0.36 s to 0.06 s.
 FAIR_RESERVE = 1 / 8
 MIN_SLOTS_FOR_RESERVE = 4
-RESERVE_MEMORY = timedelta(seconds=30)
+# A reserve applies only while items that it is meant for have arrived within this time.
+RESERVE_TTL = timedelta(seconds=30)
 
 
 def slots_for(slots: int, priority: Priority) -> int:
-    """Return how many slots a class may take while more urgent work comes in."""
+    """Return how many slots a class may use while application calls arrive."""
     if priority is Priority.APPLICATION or slots < MIN_SLOTS_FOR_RESERVE:
         return slots
     return slots - max(1, round(slots * URGENT_RESERVE))
@@ -55,47 +37,72 @@
 
 @attrs.frozen
 class QueueSettings:
-    """What an operator sets for a service's queues."""
+    """Queue settings that an operator sets for a service.
+
+    Items with more than `long_tokens` tokens count as long. `class_min_shares` is the share of the
+    dispatched tokens that each class with queued items is guaranteed.
+    """
 
     long_tokens: int = DEFAULT_LONG_TOKENS
     caller_weights: Mapping[str, float] = attrs.field(factory=dict)
-    class_floors: Mapping[Priority, float] = attrs.field(factory=lambda: dict(CLASS_FLOORS))
+    class_min_shares: Mapping[Priority, float] = attrs.field(factory=lambda: dict(CLASS_MIN_SHARES))
 
 
 @attrs.define
-class _Account:
-    """What one caller has waiting in one class; a lower virtual time goes first."""
+class _CallerQueue:
+    """Queued items of one caller in one class; the lowest virtual time is served first.
+
+    Long items have a separate queue, so that they do not delay the short items of their caller.
+    """
 
     weight: float
     virtual_time: float
     short: deque[WorkItem] = attrs.field(factory=deque)
     long: deque[WorkItem] = attrs.field(factory=deque)
 
-    def lane(self, long_allowed: bool) -> deque[WorkItem] | None:
-        """Return the lane whose head came first, of those that may start."""
-        lanes = [self.short, self.long] if long_allowed else [self.short]
-        return min((lane for lane in lanes if lane), key=lambda lane: lane[0].arrived, default=None)
+    def next_items(self, long_allowed: bool) -> deque[WorkItem] | None:
+        """Return the queue whose first item arrived first, of those that may be dispatched."""
+        candidates = [self.short, self.long] if long_allowed else [self.short]
+        return min(
+            (items for items in candidates if items),
+            key=lambda items: items[0].arrived,
+            default=None,
+        )
 
 
 @attrs.define
 class _ClassQueue:
-    """The callers of one class; `credit` is what the class has earned of its floor, in tokens."""
+    """Queues of one class by caller.
+
+    `credit` is the number of tokens that the class may dispatch before more urgent classes. It
+    grows by the minimum share of the class with every token that is dispatched.
+    """
 
-    accounts: dict[str, _Account] = attrs.field(factory=dict)
+    callers: dict[str, _CallerQueue] = attrs.field(factory=dict)
     virtual_time: float = 0.0
     credit: float = 0.0
 
 
 @attrs.frozen
-class _Head:
-    """The item of a class that would go next."""
+class _Candidate:
+    """The next item of a class: the first one of `items`."""
 
-    account: _Account
-    lane: deque[WorkItem]
+    caller_queue: _CallerQueue
+    items: deque[WorkItem]
 
 
 class WorkQueue:
-    """Items that wait and items that run on one upstream; an item's id is never used again."""
+    """Queued and running items of one upstream; the id of an item must never be reused.
+
+    First-in-first-out order would let the burst of one caller delay all others, application calls
+    wait behind the samples of a training step, and long generations occupy all slots, so that short
+    calls wait for minutes. Instead the most urgent class is served first, but a class whose credit
+    covers its next item precedes it, so that no class starves. Within a class, callers share the
+    upstream by start-time fair queueing in tokens.
+
+    The wait is bounded: `pop` never returns an item past its `start_by`, and `expire` returns such
+    items to be rejected. They have not run, so the rejection is safe to retry.
+    """
 
     def __init__(self, slots: int, settings: QueueSettings | None = None) -> None:
         self.slots = slots
@@ -104,53 +111,57 @@
         self._settings = settings or QueueSettings()
         self._classes = {priority: _ClassQueue() for priority in Priority}
         self._expiry: list[tuple[timedelta, int, int | str]] = []
-        self._pushed = 0
+        self._push_count = 0
         self._running_long = 0
-        self._running_below = 0
-        self._short_seen: timedelta | None = None
-        self._urgent_seen: timedelta | None = None
-        self._callers_seen: dict[str, timedelta] = {}
+        self._running_non_urgent = 0
+        self._last_short_arrival: timedelta | None = None
+        self._last_urgent_arrival: timedelta | None = None
+        self._last_caller_arrivals: dict[str, timedelta] = {}
 
     def __len__(self) -> int:
         return len(self.queued)
 
     def push(self, item: WorkItem) -> None:
-        """Let an item wait; its id must not be waiting or running."""
+        """Queue an item; raises DuplicateItemError if its id is queued or running."""
         if item.id in self.running:
             raise DuplicateItemError(str(item.id))
         self.queued.add(item)
-        self._pushed += 1
-        heapq.heappush(self._expiry, (item.start_by, self._pushed, item.id))
-        self._note_seen(item)
+        self._push_count += 1
+        heapq.heappush(self._expiry, (item.start_by, self._push_count, item.id))
+        self._record_arrival(item)
         self._enqueue(item)
 
     def pop(self, now: timedelta) -> WorkItem | None:
-        """Move the next item to the running ones and return it, or None when none may start."""
+        """Mark the next item as running and return it, or return None if no item may start."""
         if len(self.running) >= self.slots:
             return None
-        self._drop_gone(now)
-        heads = {priority: self._head(priority, now) for priority in Priority}
-        ready = {priority: head for priority, head in heads.items() if head is not None}
+        self._remove_stale_items(now)
+        candidates = {priority: self._next_candidate(priority, now) for priority in Priority}
+        ready = {
+            priority: candidate
+            for priority, candidate in candidates.items()
+            if candidate is not None
+        }
         if not ready:
             return None
         priority = self._choose_class(ready)
         return self._dispatch(priority, ready[priority])
 
     def finish(self, item_id: int | str) -> WorkItem | None:
-        """Free the slot of an item that ended."""
+        """Release the slot of an item that has ended; None if the item is not running."""
         item = self.running.remove(item_id)
         if item is None:
             return None
         self._running_long -= self._is_long(item)
-        self._running_below -= item.priority > Priority.APPLICATION
+        self._running_non_urgent -= item.priority > Priority.APPLICATION
         return item
 
     def cancel(self, item_id: int | str) -> WorkItem | None:
-        """Take out an item that waits; None when it does not wait (any more)."""
+        """Remove a queued item; None if it is not queued, for example because it has started."""
         return self.queued.remove(item_id)
 
     def expire(self, now: timedelta) -> list[WorkItem]:
-        """Take out and return the items that can no longer start in time."""
+        """Remove and return the queued items that can no longer start in time."""
         expired = []
         while self._expiry and self._expiry[0][0] < now:
             _, _, item_id = heapq.heappop(self._expiry)
@@ -160,13 +171,13 @@
         return expired
 
     def next_expiry(self) -> timedelta | None:
-        """Return when `expire` should next be called, or None when nothing waits."""
+        """Return when to call `expire` next, or None if no item is queued."""
         while self._expiry and self._expiry[0][2] not in self.queued:
             heapq.heappop(self._expiry)
         return self._expiry[0][0] if self._expiry else None
 
     def drain(self) -> list[WorkItem]:
-        """Take out and return everything that waits."""
+        """Remove and return all queued items."""
         items = list(self.queued)
         for item in items:
             self.queued.remove(item.id)
@@ -175,58 +186,61 @@
     def _is_long(self, item: WorkItem) -> bool:
         return item.tokens > self._settings.long_tokens
 
-    def _note_seen(self, item: WorkItem) -> None:
+    def _record_arrival(self, item: WorkItem) -> None:
         if not self._is_long(item):
-            self._short_seen = item.arrived
+            self._last_short_arrival = item.arrived
         if item.priority is Priority.APPLICATION:
-            self._urgent_seen = item.arrived
-        if item.caller not in self._callers_seen:
-            self._callers_seen = {
-                caller: seen
-                for caller, seen in self._callers_seen.items()
-                if _recent(seen, item.arrived)
+            self._last_urgent_arrival = item.arrived
+        if item.caller not in self._last_caller_arrivals:
+            self._last_caller_arrivals = {
+                caller: arrival
+                for caller, arrival in self._last_caller_arrivals.items()
+                if _is_recent(arrival, item.arrived)
             }
-        self._callers_seen[item.caller] = item.arrived
+        self._last_caller_arrivals[item.caller] = item.arrived
 
     def _enqueue(self, item: WorkItem) -> None:
-        queue = self._classes[item.priority]
-        account = queue.accounts.get(item.caller)
-        if account is None:
+        class_queue = self._classes[item.priority]
+        caller_queue = class_queue.callers.get(item.caller)
+        if caller_queue is None:
             weight = self._settings.caller_weights.get(item.caller, DEFAULT_CALLER_WEIGHT)
-            account = queue.accounts[item.caller] = _Account(weight, queue.virtual_time)
-        if not account.short and not account.long:
-            account.virtual_time = max(account.virtual_time, queue.virtual_time)
-        lane = account.long if self._is_long(item) else account.short
-        lane.append(item)
-
-    def _drop_gone(self, now: timedelta) -> None:
-        for queue in self._classes.values():
-            for caller, account in list(queue.accounts.items()):
-                for lane in (account.short, account.long):
-                    while lane and not self._may_start(lane[0], now):
-                        lane.popleft()
-                idle = not account.short and not account.long
-                # A caller behind the class's virtual time has no debt and needs no memory.
-                if idle and account.virtual_time <= queue.virtual_time:
-                    del queue.accounts[caller]
+            caller_queue = class_queue.callers[item.caller] = _CallerQueue(
+                weight, class_queue.virtual_time
+            )
+        if not caller_queue.short and not caller_queue.long:
+            caller_queue.virtual_time = max(caller_queue.virtual_time, class_queue.virtual_time)
+        items = caller_queue.long if self._is_long(item) else caller_queue.short
+        items.append(item)
+
+    def _remove_stale_items(self, now: timedelta) -> None:
+        for class_queue in self._classes.values():
+            for caller, caller_queue in list(class_queue.callers.items()):
+                for items in (caller_queue.short, caller_queue.long):
+                    while items and not self._may_start(items[0], now):
+                        items.popleft()
+                idle = not caller_queue.short and not caller_queue.long
+                # A caller never restarts below the virtual time of its class, so an idle caller
+                # that is behind it needs no state.
+                if idle and caller_queue.virtual_time <= class_queue.virtual_time:
+                    del class_queue.callers[caller]
 
     def _may_start(self, item: WorkItem, now: timedelta) -> bool:
         return item.id in self.queued and item.start_by >= now
 
-    def _head(self, priority: Priority, now: timedelta) -> _Head | None:
-        if priority > Priority.APPLICATION and not self._slot_below_urgent(now):
+    def _next_candidate(self, priority: Priority, now: timedelta) -> _Candidate | None:
+        if priority > Priority.APPLICATION and not self._non_urgent_slot_free(now):
             return None
-        long_allowed = self._slot_for_long(now)
-        best: _Head | None = None
-        last_slots = self.slots - len(self.running) <= self._fair_reserve()
-        for caller, account in self._classes[priority].accounts.items():
-            if best is not None and best.account.virtual_time <= account.virtual_time:
+        long_allowed = self._long_slot_free(now)
+        best: _Candidate | None = None
+        only_fair_reserve_left = self.slots - len(self.running) <= self._fair_reserve()
+        for caller, caller_queue in self._classes[priority].callers.items():
+            if best is not None and best.caller_queue.virtual_time <= caller_queue.virtual_time:
                 continue
-            if last_slots and self._over_share(caller, now):
+            if only_fair_reserve_left and self._exceeds_fair_share(caller, now):
                 continue
-            lane = account.lane(long_allowed)
-            if lane is not None:
-                best = _Head(account, lane)
+            items = caller_queue.next_items(long_allowed)
+            if items is not None:
+                best = _Candidate(caller_queue, items)
         return best
 
     def _fair_reserve(self) -> int:
@@ -234,46 +248,49 @@
             return 0
         return max(1, round(self.slots * FAIR_RESERVE))
 
-    def _over_share(self, caller: str, now: timedelta) -> bool:
-        active = sum(_recent(seen, now) for seen in self._callers_seen.values())
+    def _exceeds_fair_share(self, caller: str, now: timedelta) -> bool:
+        active = sum(_is_recent(arrival, now) for arrival in self._last_caller_arrivals.values())
         return active > 1 and self.running.caller_requests(caller) > self.slots / active
 
-    def _slot_for_long(self, now: timedelta) -> bool:
-        if not _recent(self._short_seen, now) or self.slots < MIN_SLOTS_FOR_RESERVE:
+    def _long_slot_free(self, now: timedelta) -> bool:
+        if not _is_recent(self._last_short_arrival, now) or self.slots < MIN_SLOTS_FOR_RESERVE:
             return True
         return self._running_long < self.slots - max(1, round(self.slots * SHORT_RESERVE))
 
-    def _slot_below_urgent(self, now: timedelta) -> bool:
-        if not _recent(self._urgent_seen, now):
+    def _non_urgent_slot_free(self, now: timedelta) -> bool:
+        if not _is_recent(self._last_urgent_arrival, now):
             return True
-        return self._running_below < slots_for(self.slots, Priority.TRAINER)
+        return self._running_non_urgent < slots_for(self.slots, Priority.TRAINER)
 
-    def _choose_class(self, ready: Mapping[Priority, _Head]) -> Priority:
-        for priority, head in ready.items():
-            if self._classes[priority].credit >= head.lane[0].tokens:
+    def _choose_class(self, ready: Mapping[Priority, _Candidate]) -> Priority:
+        for priority, candidate in ready.items():
+            if self._classes[priority].credit >= candidate.items[0].tokens:
                 return priority
         return min(ready)
 
-    def _dispatch(self, priority: Priority, head: _Head) -> WorkItem:
-        queue = self._classes[priority]
-        item = head.lane.popleft()
+    def _dispatch(self, priority: Priority, candidate: _Candidate) -> WorkItem:
+        class_queue = self._classes[priority]
+        item = candidate.items.popleft()
         self.queued.remove(item.id)
         self.running.add(item)
-        queue.virtual_time = max(queue.virtual_time, head.account.virtual_time)
-        head.account.virtual_time += item.tokens / head.account.weight
+        class_queue.virtual_time = max(
+            class_queue.virtual_time, candidate.caller_queue.virtual_time
+        )
+        candidate.caller_queue.virtual_time += item.tokens / candidate.caller_queue.weight
         self._running_long += self._is_long(item)
-        self._running_below += item.priority > Priority.APPLICATION
-        self._share_credit(priority, item.tokens)
+        self._running_non_urgent += item.priority > Priority.APPLICATION
+        self._update_credit(priority, item.tokens)
         return item
 
-    def _share_credit(self, served: Priority, tokens: int) -> None:
-        for priority, queue in self._classes.items():
+    def _update_credit(self, served: Priority, tokens: int) -> None:
+        for priority, class_queue in self._classes.items():
             if priority is served:
-                queue.credit = max(0.0, queue.credit - tokens)
-            # A class that could not start its work must not save up for a burst of its own.
-            earned = queue.credit + self._settings.class_floors[priority] * tokens
-            queue.credit = min(earned, self.queued.class_tokens(priority))
+                class_queue.credit = max(0.0, class_queue.credit - tokens)
+            # The limit prevents a class that could not start its items from accumulating credit
+            # for a burst.
+            earned = class_queue.credit + self._settings.class_min_shares[priority] * tokens
+            class_queue.credit = min(earned, self.queued.class_tokens(priority))
 
 
-def _recent(seen: timedelta | None, now: timedelta) -> bool:
-    return seen is not None and now - seen <= RESERVE_MEMORY
+def _is_recent(arrival: timedelta | None, now: timedelta) -> bool:
+    return arrival is not None and now - arrival <= RESERVE_TTL
--- a/cranberryline/decisions/recent.py
+++ b/cranberryline/decisions/recent.py
@@ -1,9 +1,4 @@
-"""Remember which requests were answered just now.
-
-Load answered: a path that many callers ask for runs at several upstreams at once, so that upstreams that are
-killed together crash under it like under a request that crashes them. That one is never answered; a request
-that was, within `ANSWERED_FOR`, is not to blame. At most `MAX_ANSWERED` are remembered, the newest.
-"""
+"""Requests that were answered recently."""
 
 from collections import OrderedDict
 from datetime import timedelta
@@ -15,19 +10,24 @@
 
 
 class RecentAnswers:
-    """Requests by fingerprint, with when they were answered last."""
+    """Time of the last answer by request fingerprint, for at most `MAX_ANSWERED` requests.
+
+    If many callers send the same request, it runs on several upstreams at once, and upstreams that
+    are killed together crash while they run it. A request that crashes its upstreams is never
+    answered, so one that was answered within `ANSWERED_FOR` did not cause the crashes.
+    """
 
     def __init__(self) -> None:
-        self._answered: OrderedDict[str, timedelta] = OrderedDict()
+        self._answered_at: OrderedDict[str, timedelta] = OrderedDict()
 
     def note(self, request: str, now: timedelta) -> None:
-        """Note an answer."""
-        self._answered[request] = now
-        self._answered.move_to_end(request)
-        if len(self._answered) > MAX_ANSWERED:
-            self._answered.popitem(last=False)
+        """Record an answer."""
+        self._answered_at[request] = now
+        self._answered_at.move_to_end(request)
+        if len(self._answered_at) > MAX_ANSWERED:
+            self._answered_at.popitem(last=False)
 
     def has(self, request: str, now: timedelta) -> bool:
-        """Tell whether a request was answered within `ANSWERED_FOR`."""
-        at = self._answered.get(request)
-        return at is not None and now - at < ANSWERED_FOR
+        """Return whether a request was answered within `ANSWERED_FOR`."""
+        answered_at = self._answered_at.get(request)
+        return answered_at is not None and now - answered_at < ANSWERED_FOR
--- a/cranberryline/decisions/retry.py
+++ b/cranberryline/decisions/retry.py
@@ -1,17 +1,4 @@
-"""Decide whether a request that brought no answer is sent again elsewhere.
-
-Load answered: failing upstreams and outages. Retrying each request three times at once sends four
-times the load to what is already failing, and the overload outlives its cause. Retrying work that
-may have run makes a caller's act happen twice.
-
-Only what is proved not run, or is idempotent, is sent again. A retry spends one token of the
-`RetryBudget`; each success earns `BUDGET_SHARE` of one, up to `BUDGET_CAP`. So in an outage, when
-nothing succeeds, retries stop after the cap, and in ordinary times they add at most a tenth to the
-load: enough for the 50 upstreams of 7,300 that fail a day. Backoff is exponential with full
-jitter from `BASE_BACKOFF`, so that the callers of a failed upstream do not arrive together.
-A refusal by a full queue counts as not run and is tried once elsewhere without waiting, at the
-same price: if most upstreams are full, the budget ends it.
-"""
+"""Retry policy for requests that returned no answer, limited by a retry budget."""
 
 import enum
 from datetime import timedelta
@@ -25,7 +12,10 @@
 __all__ = ["GiveUp", "RetryBudget", "RetryElsewhere", "RetryPolicy", "RetryRequest", "GiveUpReason"]
 
 
-BUDGET_SHARE = 0.1
+# Normally retries add at most a tenth to the load, which is enough for 50 of 7,300 upstreams that
+# fail in a day.
+BUDGET_TOKENS_PER_SUCCESS = 0.1
+# The number of retries after which they stop in an outage, in which no request succeeds.
 BUDGET_CAP = 10.0
 MAX_ATTEMPTS = 3
 BASE_BACKOFF = timedelta(milliseconds=50)
@@ -34,7 +24,7 @@
 
 
 class GiveUpReason(enum.StrEnum):
-    """Why a request is not sent again."""
+    """Reason why a request is not retried."""
 
     MAY_HAVE_RUN = "may_have_run"
     ATTEMPTS = "attempts"
@@ -44,7 +34,11 @@
 
 @attrs.frozen
 class RetryRequest:
-    """A request after an attempt that brought no answer; `attempts` counts that one."""
+    """A request whose last attempt returned no answer.
+
+    `attempts` includes that attempt, `remaining` is the time until the deadline and `service_time`
+    the expected processing time.
+    """
 
     outcome: AttemptOutcome
     idempotent: bool
@@ -55,44 +49,57 @@
 
 @attrs.frozen
 class RetryElsewhere:
-    """Send it again after a wait, preferably to another upstream."""
+    """Retry after a delay, preferably on another upstream."""
 
     after: timedelta
 
 
 @attrs.frozen
 class GiveUp:
-    """Tell the caller; `retry_after` is None where it must not simply send the request again."""
+    """Return the failure to the caller.
+
+    `retry_after` is None if the caller must not resend the request unchanged.
+    """
 
     reason: GiveUpReason
     retry_after: timedelta | None
 
 
 class RetryBudget:
-    """Retries earned by recent successes."""
+    """Token bucket that limits retries: each success adds `share` tokens, each retry costs one.
+
+    Three retries for each request of an outage would multiply the load on the failing upstreams by
+    four and prolong the overload.
+    """
 
-    def __init__(self, share: float = BUDGET_SHARE, cap: float = BUDGET_CAP) -> None:
+    def __init__(self, share: float = BUDGET_TOKENS_PER_SUCCESS, cap: float = BUDGET_CAP) -> None:
         self._share = share
         self._cap = cap
         self._tokens = cap
 
     @property
     def available(self) -> bool:
-        """Return whether a retry can be paid for."""
+        """Return whether the budget covers a retry."""
         return self._tokens >= 1
 
     def earn(self) -> None:
-        """Count a success."""
+        """Record a successful request."""
         self._tokens = min(self._cap, self._tokens + self._share)
 
     def spend(self) -> None:
-        """Pay for a retry that is about to be sent."""
+        """Deduct a retry that is about to be sent."""
         self._tokens -= 1
 
 
 @attrs.frozen
 class RetryPolicy:
-    """Retry by proof, budget and remaining time."""
+    """Retries requests that have not run or are idempotent, with exponential back-off.
+
+    A retry of a request that may have run could execute a non-idempotent operation twice. The
+    back-off has full jitter, so that the callers of a failed upstream do not retry at the same
+    moment. A rejection by a full queue counts as not run and its retry costs the same, so that the
+    budget also ends retries while most upstreams are full.
+    """
 
     max_attempts: int = MAX_ATTEMPTS
     base_backoff: timedelta = BASE_BACKOFF
@@ -101,7 +108,7 @@
     def decide(
         self, req: RetryRequest, budget: RetryBudget, rng: Random
     ) -> RetryElsewhere | GiveUp:
-        """Decide and leave the budget as it is; who retries calls `budget.spend`."""
+        """Decide whether to retry; the caller deducts the retry with `RetryBudget.spend`."""
         if req.outcome is not AttemptOutcome.NOT_RUN and not req.idempotent:
             return GiveUp(GiveUpReason.MAY_HAVE_RUN, None)
         hint = self._retry_hint(req.attempts, rng)
--- a/cranberryline/decisions/turned_away.py
+++ b/cranberryline/decisions/turned_away.py
@@ -1,39 +1,40 @@
-"""Decide for how long an upstream that turned work away gets none of the same kind.
+"""Cooldown of upstreams that refused a request, during which they get no requests of that kind.
 
-Load answered: a step's items arrive together just when engines change their weights. An engine that
-loads turns away whatever has not begun, at once, so it looks like the emptiest of all and draws the
-next item: on a calm day 163 of 767 arrivals were turned away, some items three times, each with a
-round trip and a pause in which an engine next to it had places.
-
-`REST` is a quarter of what a load of weights takes. A node then asks a loading engine four times and
-not once an item, and an engine that was merely full for a moment is back before a run of usual
-length ends.
-
-An upstream that nothing listens for any more, or at whose address another process answers, turns work away as
-quickly, and its connection seems to wait always. Nothing comes of asking it before its entry changes: it
-rests longer. Where all upstreams rest, they are asked all the same.
+Routing selects an upstream in cooldown only if no other one is left.
 """
 
 from datetime import timedelta
 
 __all__ = ["REPLACED_REST", "REST", "UNREACHABLE_REST", "TurnedAway"]
 
+# A quarter of the time that an engine takes to load weights: a node then tries a loading engine
+# four times instead of once per item, and an engine that was full for a moment is used again before
+# a run of ordinary length ends.
 REST = timedelta(milliseconds=250)
+# An upstream with no listener, or whose address now belongs to another process, refuses all
+# requests at once, so that its connections always appear free. It cannot succeed until its registry
+# entry changes, so its cooldown is longer.
 UNREACHABLE_REST = timedelta(seconds=1)
 REPLACED_REST = timedelta(seconds=3)
 
 
 class TurnedAway:
-    """The upstreams that turned work away just now."""
+    """Upstreams in cooldown after a refusal.
+
+    An engine that loads weights refuses requests at once, so it appears to be the least loaded
+    upstream and attracts the next item. The items of a training step arrive when engines change
+    their weights: without a cooldown 163 of 767 of them were refused, some three times, each with a
+    round trip and a delay while another engine had free slots.
+    """
 
     def __init__(self) -> None:
         self._until: dict[str, timedelta] = {}
 
     def note(self, upstream: str, now: timedelta) -> None:
-        """Let an upstream rest; forget those whose rest is over."""
+        """Start the cooldown of an upstream, and remove the cooldowns that have ended."""
         self._until = {name: until for name, until in self._until.items() if until > now}
         self._until[upstream] = now + REST
 
     def rests(self, upstream: str, now: timedelta) -> bool:
-        """Tell whether an upstream rests."""
+        """Return whether an upstream is in cooldown."""
         return now < self._until.get(upstream, now)
--- a/tests/decisions/test_come_back.py
+++ b/tests/decisions/test_come_back.py
@@ -1,4 +1,4 @@
-"""When refused callers come back."""
+"""Retry delay of callers during an outage of the store."""
 
 from datetime import timedelta
 
@@ -7,26 +7,31 @@
 
 from cranberryline.decisions.come_back import LATEST, SOONEST, come_back_after
 
-PATIENCE = timedelta(milliseconds=950)
-ASKS_FOR = timedelta(seconds=6)
+ATTEMPT_TIMEOUT = timedelta(milliseconds=950)
+RETRY_PERIOD = timedelta(seconds=6)
 
 
 @given(st.integers(0, 60_000), st.integers(0, 60_000))
-def test_a_longer_outage_never_shortens_the_wait(one: int, two: int) -> None:
-    """The wait grows with the outage and stays within its bounds."""
+def test_delay_does_not_shrink_in_a_longer_outage(one: int, two: int) -> None:
+    """The delay was shorter for a longer outage, or out of range."""
     younger, older = sorted((one, two))
-    waits = [come_back_after(timedelta(milliseconds=age)) for age in (younger, older)]
-    assert SOONEST <= waits[0] <= waits[1] <= LATEST
+    delays = [come_back_after(timedelta(milliseconds=age)) for age in (younger, older)]
+    assert SOONEST <= delays[0] <= delays[1] <= LATEST
 
 
-def test_a_caller_that_asks_for_six_seconds_is_there_when_the_store_is_back() -> None:
-    """Whatever the age of the outage at the first try, the last one comes in the sixth second."""
-    for began in range(0, 20_000, 100):
+def test_caller_still_retries_in_the_last_second_before_it_gives_up() -> None:
+    """A caller retries for six seconds, each attempt times out after 950 ms.
+
+    If the delay exceeds the remaining time, the caller gives up early and misses the recovery of
+    the store. The last attempt ends in the sixth second, whatever the age of the outage was at the
+    first one.
+    """
+    for outage_ms in range(0, 20_000, 100):
         now = timedelta()
         while True:
-            refused = now + PATIENCE
-            again = refused + come_back_after(timedelta(milliseconds=began) + refused)
-            if again > ASKS_FOR:
+            failed = now + ATTEMPT_TIMEOUT
+            retry_at = failed + come_back_after(timedelta(milliseconds=outage_ms) + failed)
+            if retry_at > RETRY_PERIOD:
                 break
-            now = again
-        assert now + PATIENCE > ASKS_FOR - timedelta(seconds=1)
+            now = retry_at
+        assert now + ATTEMPT_TIMEOUT > RETRY_PERIOD - timedelta(seconds=1)
--- a/tests/decisions/test_elsewhere.py
+++ b/tests/decisions/test_elsewhere.py
@@ -1,4 +1,4 @@
-"""Where not to send spoiled work again."""
+"""Exclusion of upstreams that failed when work is retried."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,12 +7,12 @@
 
 
 @given(st.permutations(["u1", "u2", "u3", "u4"]), st.integers(5, 20))
-def test_every_upstream_is_asked_before_one_is_asked_again(order: list[str], tries: int) -> None:
-    """Work fails wherever it goes, and routing would always have it at the same upstream first."""
-    avoided: frozenset[str] = frozenset()
-    asked: list[str] = []
+def test_no_upstream_is_tried_twice_before_all_were_tried(order: list[str], tries: int) -> None:
+    """Work fails on every upstream, and prefix affinity prefers the same upstreams each time."""
+    excluded: frozenset[str] = frozenset()
+    tried: list[str] = []
     for _ in range(tries):
-        free = [upstream for upstream in order if upstream not in avoided] or order
-        asked.append(free[0])
-        avoided = avoid_next(avoided, free[0])
-    assert all(len(set(asked[at : at + 4])) == 4 for at in range(0, tries - 4, 4))
+        candidates = [upstream for upstream in order if upstream not in excluded] or order
+        tried.append(candidates[0])
+        excluded = avoid_next(excluded, candidates[0])
+    assert all(len(set(tried[start : start + 4])) == 4 for start in range(0, tries - 4, 4))
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -1,4 +1,4 @@
-"""How an upstream is drawn down and comes back."""
+"""Health: reduction of the routing weight after failures, probes and recovery."""
 
 from datetime import timedelta
 
@@ -11,8 +11,8 @@
 SECOND = timedelta(seconds=1)
 
 
-def test_failures_draw_an_upstream_down_within_four() -> None:
-    """An upstream fails every request at once; after the fourth nothing but probes goes there."""
+def test_upstream_is_excluded_after_four_failures() -> None:
+    """An upstream fails every request immediately; after the fourth it gets only probes."""
     state = HealthState()
     for _ in range(4):
         state = POLICY.failed(state, SECOND)
@@ -20,13 +20,13 @@
     assert not POLICY.view(state, SECOND).usable
 
 
-def test_one_failure_does_not_take_an_upstream_out() -> None:
-    """Single failures happen; the upstream keeps half of its weight."""
+def test_single_failure_does_not_exclude_an_upstream() -> None:
+    """After a single failure the upstream keeps half of its weight."""
     assert POLICY.view(POLICY.failed(HealthState(), SECOND), SECOND).weight == 0.5
 
 
-def test_a_dead_upstream_costs_a_probe_in_half_a_minute() -> None:
-    """Every probe fails for ten minutes: the interval grows to 30 s, and one goes at a time."""
+def test_probes_of_a_dead_upstream_back_off_to_30_seconds() -> None:
+    """All probes fail for ten minutes: the interval grows to 30 s, with one probe at a time."""
     state = HealthState()
     probes = 0
     for second in range(600):
@@ -41,8 +41,8 @@
     assert 20 <= probes <= 26
 
 
-def test_a_recovered_upstream_comes_back_step_by_step() -> None:
-    """The probe succeeds; the weight returns over a dozen answers and not at once."""
+def test_weight_of_a_recovered_upstream_returns_gradually() -> None:
+    """After a successful probe the weight is restored over a dozen answers and not at once."""
     state = HealthState()
     for _ in range(6):
         state = POLICY.failed(state, SECOND)
@@ -56,12 +56,12 @@
 
 
 @given(st.lists(st.booleans(), max_size=60))
-def test_an_upstream_can_always_come_back(outcomes: list[bool]) -> None:
-    """Whatever happened, the weight lies between 0 and 1, and a probe is due within its bound."""
+def test_every_upstream_is_usable_within_the_longest_probe_interval(outcomes: list[bool]) -> None:
+    """After some sequence of outcomes the weight left 0 to 1, or no probe became due."""
     state = HealthState()
     now = timedelta()
-    for good in outcomes:
+    for success in outcomes:
         now += SECOND
-        state = POLICY.succeeded(state) if good else POLICY.failed(state, now)
+        state = POLICY.succeeded(state) if success else POLICY.failed(state, now)
         assert 0 <= POLICY.view(state, now).weight <= 1
     assert POLICY.view(state, now + POLICY.max_probe_interval).usable
--- a/tests/decisions/test_outstanding.py
+++ b/tests/decisions/test_outstanding.py
@@ -1,4 +1,4 @@
-"""The ledger's sums are those of the items that it holds, whatever happened before."""
+"""Totals of outstanding work match the items after any sequence of changes."""
 
 from collections.abc import Callable
 
@@ -22,38 +22,38 @@
 
 
 @given(STEPS)
-def test_sums_follow_the_items(steps: list[tuple[str, int, str, Priority, int]]) -> None:
-    """Sums equal those of a plain model, and an empty ledger is all zero."""
-    held = Outstanding()
+def test_totals_match_the_items(steps: list[tuple[str, int, str, Priority, int]]) -> None:
+    """The totals differ from those of a simple model, or are not all zero without any item."""
+    outstanding = Outstanding()
     model: dict[int, tuple[WorkItem, int]] = {}
     for action, item_id, caller, priority, tokens in steps:
         if action == "add" and item_id not in model:
             item = WorkItem(item_id, caller, priority, tokens, ZERO, ZERO)
-            held.add(item)
+            outstanding.add(item)
             model[item_id] = (item, tokens)
         elif action == "remove":
-            assert (held.remove(item_id) is None) == (model.pop(item_id, None) is None)
+            assert (outstanding.remove(item_id) is None) == (model.pop(item_id, None) is None)
         elif action == "done":
-            held.set_done(item_id, tokens)
+            outstanding.set_done(item_id, tokens)
             if item_id in model:
                 item = model[item_id][0]
                 model[item_id] = (item, max(0, item.tokens - tokens))
-    assert len(held) == len(model)
-    assert held.tokens == sum(left for _, left in model.values())
+    assert len(outstanding) == len(model)
+    assert outstanding.tokens == sum(remaining for _, remaining in model.values())
     for caller in ("a", "b"):
-        own = [(item, left) for item, left in model.values() if item.caller == caller]
-        assert held.caller_requests(caller) == len(own)
+        own = [(item, remaining) for item, remaining in model.values() if item.caller == caller]
+        assert outstanding.caller_requests(caller) == len(own)
         for priority in Priority:
-            expected = sum(left for item, left in own if item.priority is priority)
-            assert held.caller_tokens(priority).get(caller, 0) == expected
+            expected = sum(remaining for item, remaining in own if item.priority is priority)
+            assert outstanding.caller_tokens(priority).get(caller, 0) == expected
     if not model:
-        assert not any(held.caller_tokens(priority) for priority in Priority)
+        assert not any(outstanding.caller_tokens(priority) for priority in Priority)
 
 
-def test_an_id_is_held_once(make_item: Callable[..., WorkItem]) -> None:
-    """Holding an item twice would count it twice."""
-    held = Outstanding()
+def test_adding_an_item_twice_is_an_error(make_item: Callable[..., WorkItem]) -> None:
+    """An item that was added twice would be counted twice."""
+    outstanding = Outstanding()
     item = make_item()
-    held.add(item)
+    outstanding.add(item)
     with pytest.raises(DuplicateItemError):
-        held.add(item)
+        outstanding.add(item)
--- a/tests/decisions/test_pace.py
+++ b/tests/decisions/test_pace.py
@@ -1,4 +1,4 @@
-"""Rates follow what is recent and forget what is old."""
+"""Measured rates follow recent measurements and ignore old ones."""
 
 from datetime import timedelta
 
@@ -9,13 +9,13 @@
 SECOND = timedelta(seconds=1)
 
 
-def test_unknown_until_something_was_measured() -> None:
-    """A meter without measurements claims nothing."""
+def test_rate_is_unknown_without_measurements() -> None:
+    """A meter without measurements must return 0, which means unknown."""
     assert RateMeter().tokens_per_second(SECOND) == 0.0
 
 
-def test_a_slowdown_shows_within_seconds_and_so_does_the_recovery() -> None:
-    """An engine drops from 50 tokens a second to 1 and back."""
+def test_rate_follows_a_slowdown_and_the_recovery_within_seconds() -> None:
+    """The rate of an engine drops from 50 tokens per second to 1 and returns to 50."""
     meter = RateMeter()
     now = timedelta()
     rates = []
@@ -28,16 +28,16 @@
     assert rates[59] > 45
 
 
-def test_a_stalled_upstream_is_not_taken_for_an_unknown_one() -> None:
-    """Routing treats 0 as unknown, so a stall must not look like it."""
+def test_rate_of_a_stalled_upstream_differs_from_unknown() -> None:
+    """Routing treats 0 as unknown, so a stalled upstream must have a rate above 0."""
     meter = RateMeter()
     for second in range(1, 100):
         meter.record(0, SECOND, second * SECOND)
     assert 0 < meter.tokens_per_second(100 * SECOND) < 1
 
 
-def test_an_old_measurement_is_forgotten() -> None:
-    """An upstream that was slow and is avoided since is tried again."""
+def test_old_measurement_expires() -> None:
+    """An upstream that was slow gets no requests; its rate must expire so that it is used again."""
     meter = RateMeter()
     meter.record(1, SECOND, SECOND)
     assert meter.tokens_per_second(20 * SECOND) > 0
--- a/tests/decisions/test_queueing.py
+++ b/tests/decisions/test_queueing.py
@@ -1,4 +1,4 @@
-"""In what order waiting work starts, and that none waits for ever."""
+"""Order in which queued items start, reserved slots, expiry and starvation."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 def serve(queue: WorkQueue, requests: int, now: timedelta = ZERO) -> list[WorkItem]:
-    """Start and finish one item after the other."""
+    """Start and finish up to `requests` items, one after the other."""
     served = []
     for _ in range(requests):
         item = queue.pop(now)
@@ -26,11 +26,11 @@
     return served
 
 
-def test_a_heavy_caller_does_not_hold_up_the_others(make_item: Callable[..., WorkItem]) -> None:
+def test_burst_of_one_caller_does_not_delay_the_others(make_item: Callable[..., WorkItem]) -> None:
     """One caller queues a hundred requests; then two others queue five each.
 
-    The others are served in turn with it, and are done after fifteen requests instead of after a
-    hundred and ten.
+    The three callers are served in turn, so the other two are done after fifteen requests instead
+    of after a hundred and ten.
     """
     queue = WorkQueue(1)
     for _ in range(100):
@@ -42,10 +42,12 @@
     assert served["b"] == served["c"] == 5
 
 
-def test_callers_share_by_tokens_and_weight(make_item: Callable[..., WorkItem]) -> None:
-    """Caller b sends requests four times as large as a's, and has twice a's weight.
+def test_callers_share_tokens_in_proportion_to_their_weights(
+    make_item: Callable[..., WorkItem],
+) -> None:
+    """Requests of caller b are four times as large as those of a, and b has twice the weight.
 
-    Over a long backlog b gets twice a's tokens, so half as many requests.
+    With a long backlog, b gets twice as many tokens as a, and so half as many requests.
     """
     queue = WorkQueue(1, QueueSettings(caller_weights={"b": 2.0}))
     for _ in range(200):
@@ -57,12 +59,13 @@
     assert tokens["b"] / tokens["a"] == pytest.approx(2.0, rel=0.1)
 
 
-def test_application_calls_go_first_and_no_class_starves(
+def test_application_calls_are_served_first_and_no_class_starves(
     make_item: Callable[..., WorkItem],
 ) -> None:
-    """All three classes have a backlog that never ends.
+    """All three classes have a permanent backlog.
 
-    Application calls get most of the tokens, the others their floors of a fifth and a twentieth.
+    Application calls get most of the tokens, the other classes their minimum shares of a fifth and
+    a twentieth.
     """
     queue = WorkQueue(1)
     for priority in Priority:
@@ -74,10 +77,10 @@
     assert served[Priority.BACKGROUND] == pytest.approx(20, abs=4)
 
 
-def test_long_work_leaves_slots_for_short_work(make_item: Callable[..., WorkItem]) -> None:
-    """Long generations and short calls of one caller come to an upstream of sixteen slots.
+def test_long_items_leave_slots_for_short_items(make_item: Callable[..., WorkItem]) -> None:
+    """One caller sends long generations and short calls to an upstream with sixteen slots.
 
-    The long ones take fourteen slots at most, so a short call that comes later starts at once.
+    The long ones use at most fourteen slots, so a later short call starts immediately.
     """
     queue = WorkQueue(16)
     queue.push(make_item(tokens=10))
@@ -91,20 +94,20 @@
     assert queue.pop(timedelta(seconds=1)) == short
 
 
-def test_long_work_takes_all_slots_when_no_short_work_comes(
+def test_long_items_use_all_slots_without_short_items(
     make_item: Callable[..., WorkItem],
 ) -> None:
-    """An upstream that sees only long generations is used in full."""
+    """An upstream that receives only long generations must not keep slots unused."""
     queue = WorkQueue(16)
     for _ in range(30):
         queue.push(make_item(tokens=LONG))
     assert sum(queue.pop(ZERO) is not None for _ in range(30)) == 16
 
 
-def test_a_burst_of_samples_leaves_slots_for_application_calls(
+def test_burst_of_samples_leaves_slots_for_application_calls(
     make_item: Callable[..., WorkItem],
 ) -> None:
-    """A step of samples comes while applications call now and then: they find a slot at once."""
+    """Samples of a training step arrive while applications call occasionally: a slot stays free."""
     queue = WorkQueue(8)
     queue.push(make_item())
     serve(queue, 1)
@@ -117,26 +120,26 @@
     assert queue.pop(ZERO) is not None
 
 
-def test_what_cannot_start_in_time_is_handed_over_and_never_started(
+def test_expired_item_is_returned_and_never_started(
     make_item: Callable[..., WorkItem],
 ) -> None:
-    """An item's latest start has passed while all slots were taken.
+    """The latest start of an item passed while all slots were in use.
 
-    It is refused as not run; the one behind it is started.
+    `expire` returns it so that it can be rejected as not run; the next item starts.
     """
     queue = WorkQueue(1)
-    late, fine = make_item(start_by=1.0), make_item(start_by=9.0)
-    queue.push(late)
-    queue.push(fine)
+    expired, valid = make_item(start_by=1.0), make_item(start_by=9.0)
+    queue.push(expired)
+    queue.push(valid)
     assert queue.next_expiry() == timedelta(seconds=1)
     now = timedelta(seconds=2)
-    assert queue.pop(now) == fine
-    assert queue.expire(now) == [late]
+    assert queue.pop(now) == valid
+    assert queue.expire(now) == [expired]
     assert queue.expire(now) == []
 
 
-def test_a_withdrawn_item_does_not_start(make_item: Callable[..., WorkItem]) -> None:
-    """Cancelling says whether the item still waited, which is what makes `not run` true."""
+def test_cancelled_item_does_not_start(make_item: Callable[..., WorkItem]) -> None:
+    """`cancel` tells whether the item was still queued, which proves that it has not run."""
     queue = WorkQueue(1)
     item = make_item()
     queue.push(item)
@@ -149,8 +152,8 @@
     assert queue.cancel(started.id) is None
 
 
-def test_an_item_is_held_once(make_item: Callable[..., WorkItem]) -> None:
-    """A second push of what waits or runs is a fault of the caller."""
+def test_pushing_an_item_twice_is_an_error(make_item: Callable[..., WorkItem]) -> None:
+    """An item that is queued or running was accepted a second time."""
     queue = WorkQueue(1)
     item = make_item()
     queue.push(item)
@@ -161,8 +164,8 @@
         queue.push(item)
 
 
-def test_fewer_slots_take_effect_as_work_ends(make_item: Callable[..., WorkItem]) -> None:
-    """An operator halves an upstream's slots while it is full."""
+def test_reduced_slots_take_effect_as_items_finish(make_item: Callable[..., WorkItem]) -> None:
+    """An operator halves the slots of an upstream while all are in use."""
     queue = WorkQueue(4)
     items = [make_item() for _ in range(6)]
     for item in items:
@@ -184,8 +187,8 @@
 )
 
 
-def filled(arrivals: list[tuple[str, Priority, int]], slots: int) -> WorkQueue:
-    """Return a queue with everything pushed."""
+def filled_queue(arrivals: list[tuple[str, Priority, int]], slots: int) -> WorkQueue:
+    """Return a queue that contains an item for each arrival."""
     queue = WorkQueue(slots)
     for i, (caller, priority, tokens) in enumerate(arrivals):
         queue.push(WorkItem(i, caller, priority, tokens, ZERO, timedelta(days=1)))
@@ -193,16 +196,18 @@
 
 
 @given(ARRIVALS, st.integers(1, 8))
-def test_everything_is_started_once_and_slots_are_kept(
+def test_every_item_starts_once_within_the_slots(
     arrivals: list[tuple[str, Priority, int]], slots: int
 ) -> None:
-    """Work that is finished in any case is all started, each item once, within the slots."""
-    queue = filled(arrivals, slots)
+    """An item never started, started twice, or more items ran than there are slots."""
+    queue = filled_queue(arrivals, slots)
     started: list[int | str] = []
     while len(started) < len(arrivals):
         item = queue.pop(ZERO)
         if item is None:
-            assert len(queue.running) > 0, "nothing runs and nothing may start: it would starve"
+            assert (
+                len(queue.running) > 0
+            ), "no item runs and none may start: the queue is deadlocked"
             queue.finish(next(iter(queue.running)).id)
             continue
         started.append(item.id)
@@ -211,15 +216,16 @@
 
 
 @given(ARRIVALS)
-def test_no_caller_or_class_starves_under_a_flood(
+def test_no_caller_or_class_starves_during_a_flood(
     arrivals: list[tuple[str, Priority, int]],
 ) -> None:
-    """A caller floods the most urgent class for ever; what waited before is all started.
+    """One caller sends requests of the most urgent class without end.
 
-    The bound is the tokens that waited over the smallest floor, and one head item of each caller
-    of the flood, so a wait is finite whatever the flood.
+    All items that were queued before must start. The bound on the tokens served until then is the
+    queued tokens, plus one item for each caller and the flood, divided by the smallest minimum
+    share (0.05), so the wait is finite for any flood.
     """
-    queue = filled(arrivals, 1)
+    queue = filled_queue(arrivals, 1)
     waiting = set(range(len(arrivals)))
     tokens = sum(item.tokens for item in queue.queued)
     served, flood = 0, 0
@@ -237,20 +243,22 @@
 
 
 @given(ARRIVALS, st.integers(1, 4))
-def test_the_order_is_a_function_of_what_was_pushed(
+def test_order_depends_only_on_the_pushed_items(
     arrivals: list[tuple[str, Priority, int]], slots: int
 ) -> None:
-    """Two queues with the same pushes start the same items in the same order."""
+    """Two queues with the same items started them in different orders."""
     orders = []
     for _ in range(2):
-        queue = filled(arrivals, slots)
+        queue = filled_queue(arrivals, slots)
         orders.append([item.id for item in serve(queue, len(arrivals))])
     assert orders[0] == orders[1]
 
 
 @given(st.lists(st.tuples(st.floats(0, 10), st.floats(0, 10)), max_size=40))
-def test_the_wait_is_bounded(times: list[tuple[float, float]]) -> None:
-    """At any time, what was popped could still start and what expired could not."""
+def test_items_start_only_before_and_expire_only_after_their_latest_start(
+    times: list[tuple[float, float]],
+) -> None:
+    """`pop` returned an item past its latest start, or `expire` one that could still start."""
     queue = WorkQueue(100)
     now = ZERO
     for i, (start_by, step) in enumerate(times):
@@ -262,12 +270,12 @@
         assert item is None or item.start_by >= now
 
 
-def test_a_caller_over_its_share_leaves_the_last_slots_to_others(
+def test_caller_above_its_share_leaves_the_last_slots_to_others(
     make_item: Callable[..., WorkItem],
 ) -> None:
-    """A heavy caller fills an upstream of sixteen slots while another calls now and then.
+    """One caller fills an upstream with sixteen slots while another one calls occasionally.
 
-    It takes fourteen; the other's call finds a slot at once instead of waiting for one to be freed.
+    The first one gets fourteen slots, so the other's call starts at once instead of waiting.
     """
     queue = WorkQueue(16)
     queue.push(make_item("light"))
--- a/tests/decisions/test_retry.py
+++ b/tests/decisions/test_retry.py
@@ -1,4 +1,4 @@
-"""What is sent again, and that an outage is not multiplied."""
+"""Retries: which requests are retried, and the limits that prevent a retry storm."""
 
 from datetime import timedelta
 from random import Random
@@ -23,19 +23,18 @@
 def failed(
     outcome: AttemptOutcome, idempotent: bool, attempts: int = 1, remaining: timedelta = MINUTE
 ) -> RetryRequest:
-    """Return a request after an attempt."""
+    """Return a request whose last attempt had this outcome."""
     return RetryRequest(outcome, idempotent, attempts, remaining)
 
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.UNKNOWN, AttemptOutcome.FAILED])
-def test_what_may_have_run_is_not_sent_again(outcome: AttemptOutcome, rng: Random) -> None:
-    """A pickup is booked, and the connection is cut before the answer.
+def test_request_that_may_have_run_is_not_retried(outcome: AttemptOutcome, rng: Random) -> None:
+    """A request books a pickup, and the connection is lost before the answer.
 
-    Sending the booking again could send two riders, so the caller is told, without a time to come
-    back.
+    A retry could book a second pickup, so the failure is returned without a retry hint.
     """
-    verdict = RetryPolicy().decide(failed(outcome, False), RetryBudget(), rng)
-    assert verdict == GiveUp(GiveUpReason.MAY_HAVE_RUN, None)
+    decision = RetryPolicy().decide(failed(outcome, False), RetryBudget(), rng)
+    assert decision == GiveUp(GiveUpReason.MAY_HAVE_RUN, None)
 
 
 @pytest.mark.parametrize(
@@ -46,29 +45,27 @@
         (AttemptOutcome.FAILED, True),
     ],
 )
-def test_what_is_safe_is_sent_elsewhere(
-    outcome: AttemptOutcome, idempotent: bool, rng: Random
-) -> None:
-    """Work proved not run, and idempotent work, is tried again."""
-    verdict = RetryPolicy().decide(failed(outcome, idempotent), RetryBudget(), rng)
-    assert isinstance(verdict, RetryElsewhere)
+def test_safe_request_is_retried(outcome: AttemptOutcome, idempotent: bool, rng: Random) -> None:
+    """A request that has not run, or is idempotent, was given up."""
+    decision = RetryPolicy().decide(failed(outcome, idempotent), RetryBudget(), rng)
+    assert isinstance(decision, RetryElsewhere)
 
 
-def test_attempts_time_and_budget_end_it(rng: Random) -> None:
-    """Each limit alone gives up, with its own reason and a time to come back."""
-    policy, safe = RetryPolicy(), AttemptOutcome.NOT_RUN
+def test_attempts_deadline_and_budget_each_end_retries(rng: Random) -> None:
+    """Each limit alone must end retries, with its own reason and a retry hint."""
+    policy, not_run = RetryPolicy(), AttemptOutcome.NOT_RUN
     empty = RetryBudget(cap=0)
-    verdicts = {
-        GiveUpReason.ATTEMPTS: policy.decide(failed(safe, True, 3), RetryBudget(), rng),
-        GiveUpReason.BUDGET: policy.decide(failed(safe, True), empty, rng),
+    decisions = {
+        GiveUpReason.ATTEMPTS: policy.decide(failed(not_run, True, 3), RetryBudget(), rng),
+        GiveUpReason.BUDGET: policy.decide(failed(not_run, True), empty, rng),
         GiveUpReason.DEADLINE: policy.decide(
-            failed(safe, True, remaining=timedelta()), RetryBudget(), rng
+            failed(not_run, True, remaining=timedelta()), RetryBudget(), rng
         ),
     }
-    for reason, verdict in verdicts.items():
-        assert isinstance(verdict, GiveUp)
-        assert verdict.reason is reason
-        assert verdict.retry_after is not None
+    for reason, decision in decisions.items():
+        assert isinstance(decision, GiveUp)
+        assert decision.reason is reason
+        assert decision.retry_after is not None
 
 
 @given(
@@ -80,24 +77,26 @@
 def test_retries_are_bounded_by_the_budget(
     outcomes: list[bool], share: float, cap: float, seed: int
 ) -> None:
-    """Whatever succeeds and fails, retries are at most the cap and the share of successes."""
+    """There were more retries than the cap plus the share of the successes."""
     budget, rng = RetryBudget(share, cap), Random(seed)
     successes = retries = 0
-    for good in outcomes:
-        if good:
+    for success in outcomes:
+        if success:
             successes += 1
             budget.earn()
             continue
-        verdict = RetryPolicy().decide(failed(AttemptOutcome.NOT_RUN, True), budget, rng)
-        if isinstance(verdict, RetryElsewhere):
+        decision = RetryPolicy().decide(failed(AttemptOutcome.NOT_RUN, True), budget, rng)
+        if isinstance(decision, RetryElsewhere):
             budget.spend()
             retries += 1
         assert retries <= cap + share * successes + 1e-6
 
 
 @given(st.integers(1, 2), st.integers(0, 99))
-def test_backoff_is_jittered_bounded_and_a_function_of_its_inputs(attempts: int, seed: int) -> None:
-    """The same inputs give the same wait, within the exponential bound."""
+def test_backoff_is_within_its_bound_and_depends_only_on_its_inputs(
+    attempts: int, seed: int
+) -> None:
+    """The same inputs and seed gave another delay, or one above the exponential bound."""
     req = failed(AttemptOutcome.NOT_RUN, True, attempts)
     policy = RetryPolicy()
     first = policy.decide(req, RetryBudget(), Random(seed))
