--- a/bench/steps/nodes.py
+++ b/bench/steps/nodes.py
@@ -9,11 +9,11 @@
 
 from bench.model.simulation import Simulation
 from cranberryline.decisions import RouteRequest, RoutingPolicy, UpstreamView
-from cranberryline.decisions.elsewhere import avoid_next
+from cranberryline.decisions.excluded_upstreams import next_excluded
 from cranberryline.decisions.lengths import TextLengths
 from cranberryline.decisions.moving import MOST_MOVES, EnginePaces, faster_elsewhere
-from cranberryline.decisions.pace import RateMeter
-from cranberryline.decisions.turned_away import TurnedAway
+from cranberryline.decisions.rate_meter import RateMeter
+from cranberryline.decisions.upstream_cooldown import UpstreamCooldowns
 
 from .engines import Engine, Run
 from .model import Figures, Policy, Text
@@ -64,7 +64,7 @@
         self._lengths = TextLengths()
         self._paces = EnginePaces()
         self._turns: dict[str, RateMeter] = {name: RateMeter() for name in self._engines}
-        self._away = TurnedAway()
+        self._away = UpstreamCooldowns()
         self._watching = False
 
     def run_all(self, texts: Sequence[Text], model: int, owner: TextOwner) -> None:
@@ -95,7 +95,7 @@
         engine = self._choose(own)
         if engine is None or not engine.takes(own.model):
             if engine is not None:
-                self._away.note(engine.name, self._sim.now)
+                self._away.start(engine.name, self._sim.now)
             self._sim.after(_PAUSE * (0.5 + self._rng.random()), self._start, own)
             return
         own.engine, own.tokens, own.told_made = engine, self._tokens(own.text), own.text.made
@@ -109,7 +109,7 @@
         views = [
             self._view(name)
             for name in self._engines
-            if not self._away.rests(name, self._sim.now) and self._held(name) < self._slots
+            if not self._away.is_active(name, self._sim.now) and self._held(name) < self._slots
         ]
         excluded = own.text.avoid if len(own.text.avoid) < len(views) else frozenset()
         req = RouteRequest(tokens=self._tokens(own.text), excluded=excluded)
@@ -173,7 +173,7 @@
 
     def _leave(self, own: _Own, engine: Engine, run: Run) -> None:
         engine.stop(run)
-        own.text.avoid = avoid_next(own.text.avoid, engine.name)
+        own.text.avoid = next_excluded(own.text.avoid, engine.name)
         own.text.moves += 1
         self._out.moves += 1
         own.run = None
--- a/cranberryline/decisions/__init__.py
+++ b/cranberryline/decisions/__init__.py
@@ -16,8 +16,8 @@
 from .idle import IdlePolicy
 from .model import AttemptOutcome, Priority, RefusalReason, WorkItem
 from .outstanding import Outstanding
-from .pace import RateMeter
 from .queueing import QueueSettings, WorkQueue
+from .rate_meter import RateMeter
 from .retry import GiveUp, GiveUpReason, RetryBudget, RetryElsewhere, RetryPolicy, RetryRequest
 from .rollout import (
     GroupView,
--- a/cranberryline/decisions/blame.py
+++ b/cranberryline/decisions/crash_attribution.py
@@ -7,18 +7,18 @@
 
 from .const import ZERO
 
-__all__ = ["HOLD_AFTER_CRASHES", "CrashBlame", "Hold"]
+__all__ = ["HOLD_AFTER_CRASHES", "CrashAttribution", "Hold"]
 
 HOLD_AFTER_CRASHES = 3
 EARLY_TRIAL_DELAY = timedelta(seconds=1)
 SIMULTANEOUS_CRASH_WINDOW = timedelta(milliseconds=500)
-FIRST_TRIAL = timedelta(seconds=20)
+FIRST_TRIAL_DELAY = timedelta(seconds=20)
 TRIAL_DELAY_FACTOR = 20
 MAX_TRIAL_DELAY_STEPS = 5
 MAX_TRIAL_DELAY = timedelta(hours=1)
-SUSPECTED_FOR = timedelta(minutes=10)
-HELD_FOR = timedelta(hours=6)
-MAX_REQUESTS = 1000
+CRASH_TTL = timedelta(minutes=10)
+HELD_CRASH_TTL = timedelta(hours=6)
+MAX_TRACKED_REQUESTS = 1000
 MAX_CRASHES_PER_REQUEST = 16
 
 
@@ -45,7 +45,7 @@
     updated_at: timedelta = ZERO
 
 
-class CrashBlame:
+class CrashAttribution:
     """Counts the upstreams that crashed under each request and quarantines requests.
 
     A request that crashes every upstream that runs it, and that its caller resends through any
@@ -55,13 +55,13 @@
     Requests that ran at the same time must still be served. A crash does not count against a
     request if another request that ran there is held and has more crashes, and one answer clears a
     request. A held request cannot be answered, so single trial runs are permitted: the first after
-    `FIRST_TRIAL`, later ones after increasing delays. The first one is permitted after
+    `FIRST_TRIAL_DELAY`, later ones after increasing delays. The first one is permitted after
     `EARLY_TRIAL_DELAY` if the crashes may have another cause: another request ran on all the same
     upstreams, or an upstream that did not run this request crashed at about the same time.
 
-    Crashes expire after `SUSPECTED_FOR`, those of held requests after `HELD_FOR`. At most
-    `MAX_REQUESTS` requests are stored; those with the fewest crashes are evicted first, the oldest
-    before the others. Requests are identified by their fingerprints.
+    Crashes expire after `CRASH_TTL`, those of held requests after `HELD_CRASH_TTL`. At most
+    `MAX_TRACKED_REQUESTS` requests are stored; those with the fewest crashes are evicted first, the
+    oldest before the others. Requests are identified by their fingerprints.
     """
 
     def __init__(self) -> None:
@@ -77,12 +77,14 @@
         """Return whether an upstream has crashed under a request."""
         return request in self._histories
 
-    def crashes(self, request: str) -> tuple[str, ...]:
+    def crashed_upstreams(self, request: str) -> tuple[str, ...]:
         """Return the upstreams that crashed under a request."""
         history = self._histories.get(request)
         return () if history is None else tuple(history.crashes)
 
-    def crashed(self, request: str, upstream: str, now: timedelta, age: timedelta = ZERO) -> bool:
+    def record_crash(
+        self, request: str, upstream: str, now: timedelta, age: timedelta = ZERO
+    ) -> bool:
         """Record that an upstream crashed under a request `age` ago; return whether this is new."""
         history = self._histories.get(request)
         if history is None:
@@ -96,7 +98,7 @@
         self._crashed_at.setdefault(upstream, now - age)
         return True
 
-    def tried(self, request: str, trials: int, now: timedelta) -> None:
+    def record_trial(self, request: str, trials: int, now: timedelta) -> None:
         """Record the start of a trial run; `trials` counts the trials up to and including it."""
         history = self._histories.get(request)
         if history is None or trials <= history.trials:
@@ -104,7 +106,7 @@
         history.early_trials = int(self._trial_is_early(request, history)) or history.early_trials
         history.trials, history.updated_at = trials, now
 
-    def forget(self, request: str, upstream: str) -> None:
+    def remove_crash(self, request: str, upstream: str) -> None:
         """Remove one crash."""
         history = self._histories.get(request)
         if history is None or history.crashes.pop(upstream, None) is None:
@@ -133,7 +135,7 @@
         trial_at = history.updated_at + delay
         return Hold(tuple(history.crashes), history.trials, trial_at)
 
-    def held(self) -> list[str]:
+    def held_requests(self) -> list[str]:
         """Return the requests that are held."""
         return [request for request in self._histories if self.hold(request) is not None]
 
@@ -144,10 +146,10 @@
             for request, history in self._histories.items()
             for upstream, at in history.crashes.items()
             if now - at
-            >= (HELD_FOR if len(history.crashes) >= HOLD_AFTER_CRASHES else SUSPECTED_FOR)
+            >= (HELD_CRASH_TTL if len(history.crashes) >= HOLD_AFTER_CRASHES else CRASH_TTL)
         ]
         for request, upstream in expired:
-            self.forget(request, upstream)
+            self.remove_crash(request, upstream)
         return expired
 
     def _count_unexplained(self, request: str, history: _CrashHistory) -> int:
@@ -191,7 +193,7 @@
             del self._crashed_at[upstream]
 
     def _evict_if_full(self) -> None:
-        if len(self._histories) < MAX_REQUESTS:
+        if len(self._histories) < MAX_TRACKED_REQUESTS:
             return
         fewest = min(self._histories, key=lambda request: len(self._histories[request].crashes))
         self.clear(fewest)
@@ -199,4 +201,4 @@
 
 def _trial_delay(history: _CrashHistory) -> timedelta:
     steps = min(history.trials - history.early_trials, MAX_TRIAL_DELAY_STEPS)
-    return min(FIRST_TRIAL * TRIAL_DELAY_FACTOR**steps, MAX_TRIAL_DELAY)
+    return min(FIRST_TRIAL_DELAY * TRIAL_DELAY_FACTOR**steps, MAX_TRIAL_DELAY)
--- a/cranberryline/decisions/elsewhere.py
+++ b/cranberryline/decisions/excluded_upstreams.py
@@ -1,9 +1,9 @@
 """Upstreams to exclude when work is retried after a failure."""
 
-__all__ = ["avoid_next"]
+__all__ = ["next_excluded"]
 
 
-def avoid_next(avoided: frozenset[str], failed: str) -> frozenset[str]:
+def next_excluded(excluded: frozenset[str], failed: str) -> frozenset[str]:
     """Return the upstreams to exclude after a failure: all that failed in the current round.
 
     An excluded upstream is used only if no other is left; if it fails again, a new round starts
@@ -14,4 +14,4 @@
     end; if all that ever failed were excluded, only the first one by prefix would be tried once all
     have failed.
     """
-    return frozenset({failed}) if failed in avoided else avoided | {failed}
+    return frozenset({failed}) if failed in excluded else excluded | {failed}
--- a/cranberryline/decisions/moving.py
+++ b/cranberryline/decisions/moving.py
@@ -22,7 +22,7 @@
 from collections.abc import Iterable
 from datetime import timedelta
 
-from .pace import RateMeter
+from .rate_meter import RateMeter
 
 __all__ = ["MOST_MOVES", "EnginePaces", "faster_elsewhere"]
 
--- a/cranberryline/decisions/queueing.py
+++ b/cranberryline/decisions/queueing.py
@@ -12,7 +12,7 @@
 from .model import Priority, WorkItem
 from .outstanding import Outstanding
 
-__all__ = ["QueueSettings", "WorkQueue", "slots_for"]
+__all__ = ["QueueSettings", "WorkQueue", "max_slots_for_class"]
 
 # Shares of the slots that are reserved for short items, for application calls, and for callers that
 # run no more than their fair share. An eighth is enough because such items release their slot
@@ -28,7 +28,7 @@
 RESERVE_TTL = timedelta(seconds=30)
 
 
-def slots_for(slots: int, priority: Priority) -> int:
+def max_slots_for_class(slots: int, priority: Priority) -> int:
     """Return how many slots a class may use while application calls arrive."""
     if priority is Priority.APPLICATION or slots < MIN_SLOTS_FOR_RESERVE:
         return slots
@@ -260,7 +260,7 @@
     def _non_urgent_slot_free(self, now: timedelta) -> bool:
         if not _is_recent(self._last_urgent_arrival, now):
             return True
-        return self._running_non_urgent < slots_for(self.slots, Priority.TRAINER)
+        return self._running_non_urgent < max_slots_for_class(self.slots, Priority.TRAINER)
 
     def _choose_class(self, ready: Mapping[Priority, _Candidate]) -> Priority:
         for priority, candidate in ready.items():
--- a/cranberryline/decisions/retry.py
+++ b/cranberryline/decisions/retry.py
@@ -16,7 +16,7 @@
 # fail in a day.
 BUDGET_TOKENS_PER_SUCCESS = 0.1
 # The number of retries after which they stop in an outage, in which no request succeeds.
-BUDGET_CAP = 10.0
+MAX_BUDGET_TOKENS = 10.0
 MAX_ATTEMPTS = 3
 BASE_BACKOFF = timedelta(milliseconds=50)
 MAX_BACKOFF = timedelta(seconds=2)
@@ -72,7 +72,9 @@
     four and prolong the overload.
     """
 
-    def __init__(self, share: float = BUDGET_TOKENS_PER_SUCCESS, cap: float = BUDGET_CAP) -> None:
+    def __init__(
+        self, share: float = BUDGET_TOKENS_PER_SUCCESS, cap: float = MAX_BUDGET_TOKENS
+    ) -> None:
         self._share = share
         self._cap = cap
         self._tokens = cap
--- a/cranberryline/decisions/routing.py
+++ b/cranberryline/decisions/routing.py
@@ -44,7 +44,7 @@
 from .const import ZERO
 from .health import HealthView
 from .model import Priority
-from .queueing import slots_for
+from .queueing import max_slots_for_class
 
 __all__ = ["RouteRequest", "RoutingPolicy", "UpstreamView", "free_slots"]
 
@@ -150,7 +150,7 @@
     def _has_slot(self, upstream: UpstreamView, req: RouteRequest) -> bool:
         others = max(0, upstream.reported_requests - upstream.own_requests)
         taken = upstream.own_requests + self._trust(upstream) * others
-        return taken + 1 <= slots_for(upstream.slots, req.priority)
+        return taken + 1 <= max_slots_for_class(upstream.slots, req.priority)
 
     def _trust(self, upstream: UpstreamView) -> float:
         if upstream.report_age is None:
@@ -183,7 +183,11 @@
         return 0
     slow = SLOW_SHARE * _typical_rate(usable)
     return sum(
-        max(0, slots_for(u.slots, Priority.TRAINER) - max(u.own_requests, u.reported_requests))
+        max(
+            0,
+            max_slots_for_class(u.slots, Priority.TRAINER)
+            - max(u.own_requests, u.reported_requests),
+        )
         for u in usable
         if not 0 < u.tokens_per_second < slow
     )
--- a/cranberryline/decisions/turned_away.py
+++ b/cranberryline/decisions/upstream_cooldown.py
@@ -5,20 +5,20 @@
 
 from datetime import timedelta
 
-__all__ = ["REPLACED_REST", "REST", "UNREACHABLE_REST", "TurnedAway"]
+__all__ = ["REPLACED_COOLDOWN", "REFUSED_COOLDOWN", "UNREACHABLE_COOLDOWN", "UpstreamCooldowns"]
 
 # A quarter of the time that an engine takes to load weights: a node then tries a loading engine
 # four times instead of once per item, and an engine that was full for a moment is used again before
 # a run of ordinary length ends.
-REST = timedelta(milliseconds=250)
+REFUSED_COOLDOWN = timedelta(milliseconds=250)
 # An upstream with no listener, or whose address now belongs to another process, refuses all
 # requests at once, so that its connections always appear free. It cannot succeed until its registry
 # entry changes, so its cooldown is longer.
-UNREACHABLE_REST = timedelta(seconds=1)
-REPLACED_REST = timedelta(seconds=3)
+UNREACHABLE_COOLDOWN = timedelta(seconds=1)
+REPLACED_COOLDOWN = timedelta(seconds=3)
 
 
-class TurnedAway:
+class UpstreamCooldowns:
     """Upstreams in cooldown after a refusal.
 
     An engine that loads weights refuses requests at once, so it appears to be the least loaded
@@ -30,11 +30,11 @@
     def __init__(self) -> None:
         self._until: dict[str, timedelta] = {}
 
-    def note(self, upstream: str, now: timedelta) -> None:
+    def start(self, upstream: str, now: timedelta) -> None:
         """Start the cooldown of an upstream, and remove the cooldowns that have ended."""
         self._until = {name: until for name, until in self._until.items() if until > now}
-        self._until[upstream] = now + REST
+        self._until[upstream] = now + REFUSED_COOLDOWN
 
-    def rests(self, upstream: str, now: timedelta) -> bool:
+    def is_active(self, upstream: str, now: timedelta) -> bool:
         """Return whether an upstream is in cooldown."""
         return now < self._until.get(upstream, now)
--- a/cranberryline/dispatch/outcomes.py
+++ b/cranberryline/dispatch/outcomes.py
@@ -4,7 +4,11 @@
 
 import attrs
 
-from cranberryline.decisions.turned_away import REPLACED_REST, REST, UNREACHABLE_REST
+from cranberryline.decisions.upstream_cooldown import (
+    REFUSED_COOLDOWN,
+    REPLACED_COOLDOWN,
+    UNREACHABLE_COOLDOWN,
+)
 from cranberryline.helpers.clock import in_milliseconds
 from cranberryline.helpers.logging import get_logger
 from cranberryline.quarantine import BrokenRun, Held
@@ -57,9 +61,9 @@
 _BROKEN_OFF = frozenset({"upstream_cut", "upstream_error"})
 # For how long an upstream that turned a request away gets no other one, by what it said.
 _RESTS = {
-    "upstream_refused": REST,
-    "upstream_unreachable": UNREACHABLE_REST,
-    "upstream_replaced": REPLACED_REST,
+    "upstream_refused": REFUSED_COOLDOWN,
+    "upstream_unreachable": UNREACHABLE_COOLDOWN,
+    "upstream_replaced": REPLACED_COOLDOWN,
 }
 # What says that an entry is out of date: another upstream is asked at once, and no attempt is spent on it.
 _OUT_OF_DATE = frozenset({"upstream_unreachable", "upstream_replaced"})
--- a/cranberryline/jobs/item.py
+++ b/cranberryline/jobs/item.py
@@ -5,7 +5,7 @@
 
 from result import Err, Ok, Result
 
-from cranberryline.decisions.elsewhere import avoid_next
+from cranberryline.decisions.excluded_upstreams import next_excluded
 from cranberryline.decisions.hedging import scoring_hedge_delay
 from cranberryline.decisions.moving import MOST_MOVES
 from cranberryline.dispatch.errors import Ran, Refusal, RefusalReason
@@ -182,7 +182,7 @@
         events_before = len(self.text.events)
         outcome = await self._async_dispatch(route, sink)
         if sink.upstream:
-            self._avoided_upstreams = avoid_next(self._avoided_upstreams, sink.upstream)
+            self._avoided_upstreams = next_excluded(self._avoided_upstreams, sink.upstream)
         if len(self.text.events) > events_before:
             self._retry_delay = _MIN_RETRY_DELAY
         complete = isinstance(outcome, Ok) and sink.status == STATUS_OK and sink.complete
@@ -199,7 +199,7 @@
         refusal = outcome.err()
         up_to_date = self.context.knowledge.suffices(self.state.job.id)
         if refusal is not None and refusal.ran is Ran.NO and sink.upstream and up_to_date:
-            self.context.rejecting_upstreams.note(sink.upstream, self.context.clock.monotonic())
+            self.context.rejecting_upstreams.start(sink.upstream, self.context.clock.monotonic())
         reason = sink.abort_reason or (refusal.reason if refusal else "cut")
         self.context.metrics.retry(f"item_{reason}")
         _LOGGER.debug(
@@ -220,7 +220,7 @@
         def eligible(upstream: str) -> bool:
             if not self._may_send():
                 return False
-            if self.context.rejecting_upstreams.rests(upstream, self.context.clock.monotonic()):
+            if self.context.rejecting_upstreams.is_active(upstream, self.context.clock.monotonic()):
                 return False
             if min_version is None:
                 return True
--- a/cranberryline/jobs/item_context.py
+++ b/cranberryline/jobs/item_context.py
@@ -9,7 +9,7 @@
 from cranberryline.decisions.hedging import HedgeBudget
 from cranberryline.decisions.lengths import TextLengths
 from cranberryline.decisions.moving import EnginePaces
-from cranberryline.decisions.turned_away import TurnedAway
+from cranberryline.decisions.upstream_cooldown import UpstreamCooldowns
 from cranberryline.dispatch.dispatch import Dispatcher
 from cranberryline.helpers.clock import Clock
 from cranberryline.helpers.metrics import Metrics
@@ -52,6 +52,6 @@
     hedge_budget: HedgeBudget = attrs.field(factory=HedgeBudget)
     # Monotonic time of the last byte from each upstream.
     last_received_at: dict[str, timedelta] = attrs.field(factory=dict)
-    rejecting_upstreams: TurnedAway = attrs.field(factory=TurnedAway)
+    rejecting_upstreams: UpstreamCooldowns = attrs.field(factory=UpstreamCooldowns)
     lengths: TextLengths = attrs.field(factory=TextLengths)
     paces: EnginePaces = attrs.field(factory=EnginePaces)
--- a/cranberryline/jobs/read_limiter.py
+++ b/cranberryline/jobs/read_limiter.py
@@ -5,7 +5,7 @@
 
 from result import Err, Result
 
-from cranberryline.decisions.first_reads import ReadPace
+from cranberryline.decisions.startup_reads import StartupReadLimits
 from cranberryline.helpers.clock import Clock
 from cranberryline.helpers.tail import ReadTurns, TimedRead
 from cranberryline.ports.store import LogRead, StoreError, StoreProblem
@@ -14,13 +14,13 @@
 
 
 class ReadLimiter(ReadTurns):
-    """Runs reads with the concurrency and timeouts of `ReadPace`.
+    """Runs reads with the concurrency and timeouts of `StartupReadLimits`.
 
     A read that takes longer than its turn continues, but no longer counts towards the limit.
     """
 
-    def __init__(self, pace: ReadPace, clock: Clock) -> None:
-        self._pace = pace
+    def __init__(self, limits: StartupReadLimits, clock: Clock) -> None:
+        self._limits = limits
         self._clock = clock
         self._active_turns = 0
         self._changed = asyncio.Event()
@@ -29,7 +29,7 @@
         """Wait for a turn, then run the read with the current read timeout."""
         await self._async_acquire_turn()
         began_at = self._clock.monotonic()
-        task = asyncio.ensure_future(read(self._pace.patience))
+        task = asyncio.ensure_future(read(self._limits.timeout))
         try:
             await self._async_release_turn(task)
             answer = await task
@@ -43,21 +43,21 @@
     ) -> None:
         """Wait until a read is done or its turn is over, then free its turn."""
         try:
-            await asyncio.wait((task,), timeout=self._pace.turn.total_seconds())
+            await asyncio.wait((task,), timeout=self._limits.slot_time.total_seconds())
         finally:
             self._active_turns -= 1
             self._notify()
 
     async def _async_acquire_turn(self) -> None:
-        while self._active_turns >= self._pace.at_once:
+        while self._active_turns >= self._limits.max_concurrent:
             await self._changed.wait()
         self._active_turns += 1
 
     def _record(self, answer: Result[LogRead, StoreError], duration: timedelta) -> None:
         if not isinstance(answer, Err):
-            self._pace.answered(duration)
+            self._limits.record_answer(duration)
         elif answer.unwrap_err().problem is StoreProblem.UNKNOWN:
-            self._pace.unanswered()
+            self._limits.record_timeout()
         self._notify()
 
     def _notify(self) -> None:
--- a/cranberryline/jobs/service.py
+++ b/cranberryline/jobs/service.py
@@ -9,8 +9,8 @@
 import attrs
 from result import Err, Ok, Result
 
-from cranberryline.decisions.come_back import come_back_after
-from cranberryline.decisions.first_reads import ReadPace
+from cranberryline.decisions.outage_retry import outage_retry_delay
+from cranberryline.decisions.startup_reads import StartupReadLimits
 from cranberryline.helpers.clock import Clock, in_milliseconds
 from cranberryline.helpers.logging import get_logger
 from cranberryline.helpers.metrics import Metrics
@@ -77,7 +77,7 @@
         self._health = health
         self._metrics = metrics
         self._change_events: dict[str, asyncio.Event] = {}
-        first_reads = ReadLimiter(ReadPace(), clock)
+        first_reads = ReadLimiter(StartupReadLimits(), clock)
         self.tails = [
             PartitionTail(
                 log,
@@ -270,7 +270,7 @@
         """Return an error with a retry delay that depends on the duration of the outage."""
         current_at = self._tail(job_id).current_at
         outage = timedelta() if current_at is None else self._clock.monotonic() - current_at
-        return JobRefused(problem, come_back_after(outage))
+        return JobRefused(problem, outage_retry_delay(outage))
 
     async def _async_wait_for_change(self, job_id: str, wait: timedelta) -> bool:
         event = self._change_events.setdefault(job_id, asyncio.Event())
--- a/cranberryline/platform/store.py
+++ b/cranberryline/platform/store.py
@@ -9,7 +9,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from cranberryline.decisions.first_reads import PAGE_KB
+from cranberryline.decisions.startup_reads import PAGE_KB
 from cranberryline.helpers.clock import in_milliseconds
 from cranberryline.helpers.decode import decode_json
 from cranberryline.ports.errors import PlatformError
--- a/cranberryline/quarantine/keeper.py
+++ b/cranberryline/quarantine/keeper.py
@@ -9,8 +9,8 @@
 from result import Err
 
 from cranberryline.decisions import rendezvous
-from cranberryline.decisions.blame import MAX_REQUESTS, CrashBlame, Hold
-from cranberryline.decisions.recent import RecentAnswers
+from cranberryline.decisions.crash_attribution import MAX_TRACKED_REQUESTS, CrashAttribution, Hold
+from cranberryline.decisions.recent_answers import RecentAnswers
 from cranberryline.helpers.clock import Clock, in_milliseconds
 from cranberryline.helpers.logging import get_logger
 from cranberryline.helpers.metrics import Metrics
@@ -75,7 +75,7 @@
         self._in_use = in_use
         self._refuses = refuses
         self._end = end
-        self._blame = CrashBlame()
+        self._blame = CrashAttribution()
         self._recent = RecentAnswers()
         self._records: dict[str, CrashRecord] = {}
         self._told: set[str] = set()
@@ -84,7 +84,7 @@
         self._looks: dict[str, asyncio.Task[bool]] = {}
         self._blaming: set[asyncio.Task[None]] = set()
         self._writer = RecordWriter(log, topic, clock, metrics)
-        metrics.held.set_function(lambda: len(self._blame.held()))
+        metrics.held.set_function(lambda: len(self._blame.held_requests()))
 
     @property
     def suspecting(self) -> bool:
@@ -116,7 +116,7 @@
         taken = await self._log.async_append(self._topic, 0, [record], _TRIAL_TIMEOUT, at=end)
         if taken.is_err():
             return False
-        self._blame.tried(request, number, self._clock.monotonic())
+        self._blame.record_trial(request, number, self._clock.monotonic())
         self._note("trial", request, hold.upstreams, number=number)
         return True
 
@@ -131,7 +131,7 @@
 
     def answered(self, request: str) -> None:
         """Clear a request: what crashes its upstreams is never answered."""
-        self._recent.note(request, self._clock.monotonic())
+        self._recent.record(request, self._clock.monotonic())
         if request in self._blame:
             self._clear(request, "answered")
 
@@ -151,9 +151,9 @@
             return
         told = read.unwrap()
         if isinstance(told, TrialRecord):
-            if request in self._blame or len(self._trials) < MAX_REQUESTS:
+            if request in self._blame or len(self._trials) < MAX_TRACKED_REQUESTS:
                 self._trials[request] = told.number
-            self._blame.tried(request, told.number, self._clock.monotonic())
+            self._blame.record_trial(request, told.number, self._clock.monotonic())
             return
         self._add(request, upstream, told)
 
@@ -190,7 +190,7 @@
         if look is None:
             look = self._looks[run.upstream] = asyncio.ensure_future(self._async_look(run.upstream))
             look.add_done_callback(lambda _, key=run.upstream: self._looks.pop(key, None))
-        if not await look or self._recent.has(run.fingerprint, self._clock.monotonic()):
+        if not await look or self._recent.contains(run.fingerprint, self._clock.monotonic()):
             return
         self._metrics.crash("blamed")
         record = CrashRecord(
@@ -204,7 +204,7 @@
             upstream=run.upstream,
             fingerprint=run.fingerprint,
             path=run.path,
-            crashes=len(self._blame.crashes(run.fingerprint)),
+            crashes=len(self._blame.crashed_upstreams(run.fingerprint)),
         )
         key = crash_key(run.fingerprint, run.upstream)
         self._writer.put(key, msgspec.msgpack.encode(record))
@@ -218,13 +218,13 @@
         """Count a crash unless it is known already or the request is cleared; return whether it is new."""
         now = self._clock.monotonic()
         age = max(timedelta(seconds=self._now() - record.at), timedelta())
-        if not self._blame.crashed(request, upstream, now, age):
+        if not self._blame.record_crash(request, upstream, now, age):
             return False
         self._records[request] = record
         if len(self._records) > len(self._blame) or len(self._trials) > len(self._blame):
             self._forget_evicted()
-        self._blame.tried(request, self._trials.get(request, 0), now)
-        if self._recent.has(request, now):
+        self._blame.record_trial(request, self._trials.get(request, 0), now)
+        if self._recent.contains(request, now):
             self._clear(request, "answered_before")
             return True
         hold = self._blame.hold(request)
@@ -244,7 +244,7 @@
         """Take that a record is gone from the store."""
         if not upstream:
             self._trials.pop(request, None)
-        self._blame.forget(request, upstream)
+        self._blame.remove_crash(request, upstream)
         self._forget_cleared(request)
 
     def _forget_cleared(self, request: str) -> None:
@@ -273,7 +273,7 @@
         )
 
     def _seen(self, request: str, record: CrashRecord) -> HeldRequest:
-        hold, upstreams = self._blame.hold(request), self._blame.crashes(request)
+        hold, upstreams = self._blame.hold(request), self._blame.crashed_upstreams(request)
         if hold is None:
             return HeldRequest(request, record, upstreams, 0, None)
         trial_in = max(hold.trial_at - self._clock.monotonic(), timedelta())
--- a/cranberryline/samples/elsewhere.py
+++ b/cranberryline/samples/elsewhere.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from cranberryline.decisions.elsewhere import avoid_next
+from cranberryline.decisions.excluded_upstreams import next_excluded
 
 from .model import SampleId
 
@@ -41,7 +41,7 @@
         """Remember where an attempt failed; one that was never sent says nothing."""
         if attempt.upstream:
             failed = self._failed.get(attempt.sample_id, frozenset())
-            self._failed[attempt.sample_id] = avoid_next(failed, attempt.upstream)
+            self._failed[attempt.sample_id] = next_excluded(failed, attempt.upstream)
 
     def forget(self, sample_id: SampleId) -> None:
         """Drop what is known of a finished sample; made again later, it may go anywhere."""
--- a/tests/decisions/test_blame.py
+++ b/tests/decisions/test_crash_attribution.py
@@ -8,115 +8,121 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranberryline.decisions.blame import (
+from cranberryline.decisions.crash_attribution import (
+    CRASH_TTL,
     EARLY_TRIAL_DELAY,
-    FIRST_TRIAL,
-    HELD_FOR,
+    FIRST_TRIAL_DELAY,
+    HELD_CRASH_TTL,
     HOLD_AFTER_CRASHES,
     MAX_CRASHES_PER_REQUEST,
-    MAX_REQUESTS,
+    MAX_TRACKED_REQUESTS,
     SIMULTANEOUS_CRASH_WINDOW,
-    SUSPECTED_FOR,
-    CrashBlame,
+    CrashAttribution,
 )
-from cranberryline.decisions.recent import ANSWERED_FOR, MAX_ANSWERED, RecentAnswers
+from cranberryline.decisions.recent_answers import ANSWER_TTL, MAX_RECENT_ANSWERS, RecentAnswers
 
 NOW = timedelta(seconds=100)
 
 
-def _crash(blame: CrashBlame, request: str, *upstreams: str, now: timedelta = NOW) -> None:
+def _crash(
+    attribution: CrashAttribution, request: str, *upstreams: str, now: timedelta = NOW
+) -> None:
     for upstream in upstreams:
-        blame.crashed(request, upstream, now)
+        attribution.record_crash(request, upstream, now)
 
 
 def test_request_is_held_after_three_crashes_and_not_after_two() -> None:
     """A request that was running during two unrelated crashes must still be served."""
-    blame = CrashBlame()
-    _crash(blame, "r", "a", "b")
-    assert blame.hold("r") is None and "r" in blame
-    _crash(blame, "r", "c")
-    hold = blame.hold("r")
+    attribution = CrashAttribution()
+    _crash(attribution, "r", "a", "b")
+    assert attribution.hold("r") is None and "r" in attribution
+    _crash(attribution, "r", "c")
+    hold = attribution.hold("r")
     assert hold is not None and hold.upstreams == ("a", "b", "c")
 
 
 def test_crash_of_one_upstream_counts_once() -> None:
     """Two gateways report the same crash, or one ran the request there twice."""
-    blame = CrashBlame()
-    assert blame.crashed("r", "a", NOW)
-    assert not blame.crashed("r", "a", NOW)
-    assert len(blame.crashes("r")) == 1
+    attribution = CrashAttribution()
+    assert attribution.record_crash("r", "a", NOW)
+    assert not attribution.record_crash("r", "a", NOW)
+    assert len(attribution.crashed_upstreams("r")) == 1
 
 
 def test_request_that_ran_together_with_a_held_one_is_not_held() -> None:
     """It was retried on three upstreams, and another request crashed all of them."""
-    blame = CrashBlame()
-    _crash(blame, "poison", "a", "b", "c", "d")
-    _crash(blame, "concurrent", "a", "b", "c")
-    assert blame.hold("poison") is not None
-    assert blame.hold("concurrent") is None
+    attribution = CrashAttribution()
+    _crash(attribution, "poison", "a", "b", "c", "d")
+    _crash(attribution, "concurrent", "a", "b", "c")
+    assert attribution.hold("poison") is not None
+    assert attribution.hold("concurrent") is None
 
 
 def test_request_with_crashes_of_its_own_is_held_although_it_ran_with_another() -> None:
     """Two requests that both crash upstreams must not excuse each other."""
-    blame = CrashBlame()
-    _crash(blame, "first", "a", "b", "c", "d")
-    _crash(blame, "second", "a", "e", "f", "g")
-    assert blame.held() == ["first", "second"]
+    attribution = CrashAttribution()
+    _crash(attribution, "first", "a", "b", "c", "d")
+    _crash(attribution, "second", "a", "e", "f", "g")
+    assert attribution.held_requests() == ["first", "second"]
 
 
 def test_two_requests_with_the_same_crashes_both_get_an_early_trial() -> None:
     """The one that did not cause the crashes must run after one second instead of twenty."""
-    blame = CrashBlame()
-    _crash(blame, "r", "a", "b", "c")
-    _crash(blame, "concurrent", "a", "b", "c")
+    attribution = CrashAttribution()
+    _crash(attribution, "r", "a", "b", "c")
+    _crash(attribution, "concurrent", "a", "b", "c")
     for request in ("r", "concurrent"):
-        hold = blame.hold(request)
+        hold = attribution.hold(request)
         assert hold is not None and hold.trial_at == NOW + EARLY_TRIAL_DELAY
-    blame.clear("concurrent")
-    hold = blame.hold("r")
-    assert hold is not None and hold.trial_at == NOW + FIRST_TRIAL
+    attribution.clear("concurrent")
+    hold = attribution.hold("r")
+    assert hold is not None and hold.trial_at == NOW + FIRST_TRIAL_DELAY
 
 
 def test_request_gets_an_early_trial_if_other_upstreams_crashed_at_the_same_time() -> None:
     """Many upstreams crash for another reason, and a request is retried on three of them."""
-    blame = CrashBlame()
+    attribution = CrashAttribution()
     for number, upstream in enumerate("abc"):
         at = NOW + timedelta(seconds=number)
-        blame.crashed("r", upstream, at)
-        blame.crashed(f"other-{number}", f"{upstream}2", at + SIMULTANEOUS_CRASH_WINDOW)
-    hold = blame.hold("r")
+        attribution.record_crash("r", upstream, at)
+        attribution.record_crash(f"other-{number}", f"{upstream}2", at + SIMULTANEOUS_CRASH_WINDOW)
+    hold = attribution.hold("r")
     assert hold is not None and hold.trial_at == NOW + timedelta(seconds=2) + EARLY_TRIAL_DELAY
-    blame.tried("r", 1, hold.trial_at)
-    later = blame.hold("r")
-    assert later is not None and later.trial_at == hold.trial_at + FIRST_TRIAL
+    attribution.record_trial("r", 1, hold.trial_at)
+    later = attribution.hold("r")
+    assert later is not None and later.trial_at == hold.trial_at + FIRST_TRIAL_DELAY
 
 
 @pytest.mark.parametrize("with_another", [False, True])
 def test_failed_trials_become_less_frequent(with_another: bool) -> None:
     """A held request that keeps crashing upstreams gets at most two trials in two minutes."""
-    blame, trials = CrashBlame(), 0
-    _crash(blame, "r", "a", "b", "c")
+    attribution, trials = CrashAttribution(), 0
+    _crash(attribution, "r", "a", "b", "c")
     if with_another:
-        _crash(blame, "other", "a", "b", "c")
+        _crash(attribution, "other", "a", "b", "c")
     for tenth in range(1200):
         now = NOW + timedelta(seconds=tenth / 10)
-        hold = blame.hold("r")
+        hold = attribution.hold("r")
         assert hold is not None
         if now >= hold.trial_at:
             trials += 1
-            blame.tried("r", hold.trials + 1, now)
-            blame.crashed("r", f"trial-{trials}", now)
+            attribution.record_trial("r", hold.trials + 1, now)
+            attribution.record_crash("r", f"trial-{trials}", now)
     assert trials == 1 + with_another
 
 
 def test_answer_clears_all_crashes() -> None:
     """A request that was answered may run at once, and its crashes count from zero."""
-    blame = CrashBlame()
-    _crash(blame, "r", "a", "b", "c")
-    assert blame.clear("r") == ("a", "b", "c")
-    assert blame.hold("r") is None and len(blame) == 0 and not blame._requests_by_upstream
-    _crash(blame, "r", "d", "e")
-    assert blame.hold("r") is None
+    attribution = CrashAttribution()
+    _crash(attribution, "r", "a", "b", "c")
+    assert attribution.clear("r") == ("a", "b", "c")
+    assert (
+        attribution.hold("r") is None
+        and len(attribution) == 0
+        and not attribution._requests_by_upstream
+    )
+    _crash(attribution, "r", "d", "e")
+    assert attribution.hold("r") is None
 
 
 def test_crashes_expire() -> None:
@@ -124,13 +130,13 @@
 
     Neither may leave any state behind.
     """
-    blame = CrashBlame()
-    _crash(blame, "suspected", "a")
-    _crash(blame, "held", "a", "b", "c")
-    assert blame.expire(NOW + SUSPECTED_FOR) == [("suspected", "a")]
-    assert "suspected" not in blame and blame.hold("held") is not None
-    assert len(blame.expire(NOW + HELD_FOR)) == HOLD_AFTER_CRASHES
-    assert len(blame) == 0 and not blame._requests_by_upstream
+    attribution = CrashAttribution()
+    _crash(attribution, "suspected", "a")
+    _crash(attribution, "held", "a", "b", "c")
+    assert attribution.expire(NOW + CRASH_TTL) == [("suspected", "a")]
+    assert "suspected" not in attribution and attribution.hold("held") is not None
+    assert len(attribution.expire(NOW + HELD_CRASH_TTL)) == HOLD_AFTER_CRASHES
+    assert len(attribution) == 0 and not attribution._requests_by_upstream
 
 
 def test_reported_age_of_a_crash_counts_towards_its_expiry() -> None:
@@ -138,20 +144,20 @@
 
     Their lifetime must count from the crash and not from the start of the gateway.
     """
-    blame = CrashBlame()
-    blame.crashed("r", "a", NOW, SUSPECTED_FOR)
-    assert blame.expire(NOW) == [("r", "a")]
+    attribution = CrashAttribution()
+    attribution.record_crash("r", "a", NOW, CRASH_TTL)
+    assert attribution.expire(NOW) == [("r", "a")]
 
 
 def test_memory_is_bounded_and_held_requests_are_evicted_last() -> None:
     """Many crashes must evict the requests with the fewest crashes, not the held ones."""
-    blame = CrashBlame()
-    _crash(blame, "held", *(f"u{number}" for number in range(2 * MAX_CRASHES_PER_REQUEST)))
-    for number in range(3 * MAX_REQUESTS):
-        blame.crashed(f"r{number}", f"up{number}", NOW)
-    assert len(blame) == MAX_REQUESTS and blame.hold("held") is not None
-    assert len(blame.crashes("held")) == MAX_CRASHES_PER_REQUEST
-    assert len(blame._requests_by_upstream) <= MAX_REQUESTS + MAX_CRASHES_PER_REQUEST
+    attribution = CrashAttribution()
+    _crash(attribution, "held", *(f"u{number}" for number in range(2 * MAX_CRASHES_PER_REQUEST)))
+    for number in range(3 * MAX_TRACKED_REQUESTS):
+        attribution.record_crash(f"r{number}", f"up{number}", NOW)
+    assert len(attribution) == MAX_TRACKED_REQUESTS and attribution.hold("held") is not None
+    assert len(attribution.crashed_upstreams("held")) == MAX_CRASHES_PER_REQUEST
+    assert len(attribution._requests_by_upstream) <= MAX_TRACKED_REQUESTS + MAX_CRASHES_PER_REQUEST
 
 
 _STEPS = st.tuples(
@@ -167,38 +173,47 @@
 
     A request is held only with three crashes, and if any request has three, at least one is held.
     """
-    blame, now = CrashBlame(), NOW
+    attribution, now = CrashAttribution(), NOW
     for action, request, upstream in steps:
         now += timedelta(minutes=3)
         if action == "crash":
-            blame.crashed(request, upstream, now)
+            attribution.record_crash(request, upstream, now)
         elif action == "forget":
-            blame.forget(request, upstream)
+            attribution.remove_crash(request, upstream)
         elif action == "clear":
-            blame.clear(request)
+            attribution.clear(request)
         elif action == "expire":
-            blame.expire(now)
+            attribution.expire(now)
         else:
-            blame.tried(request, 1, now)
-        by_request = {(each, crashed) for each in "pqrs" for crashed in blame.crashes(each)}
+            attribution.record_trial(request, 1, now)
+        by_request = {
+            (each, crashed) for each in "pqrs" for crashed in attribution.crashed_upstreams(each)
+        }
         assert by_request == {
             (each, crashed)
-            for crashed, requests in blame._requests_by_upstream.items()
+            for crashed, requests in attribution._requests_by_upstream.items()
             for each in requests
         }
-        assert all(len(blame.crashes(each)) >= HOLD_AFTER_CRASHES for each in blame.held())
-        suspected = [each for each in "pqrs" if len(blame.crashes(each)) >= HOLD_AFTER_CRASHES]
-        assert bool(blame.held()) == bool(suspected)
+        assert all(
+            len(attribution.crashed_upstreams(each)) >= HOLD_AFTER_CRASHES
+            for each in attribution.held_requests()
+        )
+        suspected = [
+            each
+            for each in "pqrs"
+            if len(attribution.crashed_upstreams(each)) >= HOLD_AFTER_CRASHES
+        ]
+        assert bool(attribution.held_requests()) == bool(suspected)
 
 
 def test_recent_answers_are_limited_in_number_and_age() -> None:
     """Only the newest answers are stored, for one minute."""
     recent = RecentAnswers()
-    recent.note("r", NOW)
-    assert recent.has("r", NOW + ANSWERED_FOR / 2) and not recent.has("r", NOW + ANSWERED_FOR)
-    for number in range(2 * MAX_ANSWERED):
-        recent.note(f"r{number}", NOW)
-    assert not recent.has("r", NOW) and len(recent._answered_at) == MAX_ANSWERED
+    recent.record("r", NOW)
+    assert recent.contains("r", NOW + ANSWER_TTL / 2) and not recent.contains("r", NOW + ANSWER_TTL)
+    for number in range(2 * MAX_RECENT_ANSWERS):
+        recent.record(f"r{number}", NOW)
+    assert not recent.contains("r", NOW) and len(recent._answered_at) == MAX_RECENT_ANSWERS
 
 
 @attrs.define
@@ -210,7 +225,7 @@
     upstreams after a crash; some upstreams crash for other reasons.
     """
 
-    blame: CrashBlame | None
+    attribution: CrashAttribution | None
     rng: Random
     upstreams: int = 12
     down: dict[str, int] = attrs.field(factory=dict)
@@ -229,12 +244,12 @@
 
     def may_run(self, request: str, step: int) -> bool:
         """Return whether a request may run at a step."""
-        if self.blame is None or (hold := self.blame.hold(request)) is None:
+        if self.attribution is None or (hold := self.attribution.hold(request)) is None:
             return True
         now = _time_of(step)
         if now < hold.trial_at:
             return False
-        self.blame.tried(request, hold.trials + 1, now)
+        self.attribution.record_trial(request, hold.trials + 1, now)
         return True
 
     def crash(self, name: str, running: list[str], step: int) -> None:
@@ -242,8 +257,8 @@
         self.down[name] = step + 80
         self.crashes += 1
         for request in running:
-            if self.blame is not None:
-                self.blame.crashed(request, f"{name}@{self.starts}", _time_of(step))
+            if self.attribution is not None:
+                self.attribution.record_crash(request, f"{name}@{self.starts}", _time_of(step))
 
     def simulate(self) -> None:
         """Simulate one minute."""
@@ -271,8 +286,8 @@
                     unserved += [request for request in running if request != "poison"]
                     continue
                 self.served += len(running)
-                for request in running if self.blame is not None else ():
-                    self.blame.clear(request)
+                for request in running if self.attribution is not None else ():
+                    self.attribution.clear(request)
             waiting = unserved
         self.unserved = len(waiting)
 
@@ -289,9 +304,11 @@
     have other causes, 3 lead to the quarantine, and at most 4 more come from copies and trials of
     the request; the requests that ran at the same time are served.
     """
-    without_blame, with_blame = _Service(None, Random(seed)), _Service(CrashBlame(), Random(seed))
-    without_blame.simulate()
-    with_blame.simulate()
-    assert without_blame.crashes > 100
-    assert with_blame.crashes <= 6 + HOLD_AFTER_CRASHES + 4
-    assert with_blame.unserved <= 3
+    without_quarantine, with_quarantine = _Service(None, Random(seed)), _Service(
+        CrashAttribution(), Random(seed)
+    )
+    without_quarantine.simulate()
+    with_quarantine.simulate()
+    assert without_quarantine.crashes > 100
+    assert with_quarantine.crashes <= 6 + HOLD_AFTER_CRASHES + 4
+    assert with_quarantine.unserved <= 3
--- a/tests/decisions/test_elsewhere.py
+++ b/tests/decisions/test_excluded_upstreams.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranberryline.decisions.elsewhere import avoid_next
+from cranberryline.decisions.excluded_upstreams import next_excluded
 
 
 @given(st.permutations(["u1", "u2", "u3", "u4"]), st.integers(5, 20))
@@ -14,5 +14,5 @@
     for _ in range(tries):
         candidates = [upstream for upstream in order if upstream not in excluded] or order
         tried.append(candidates[0])
-        excluded = avoid_next(excluded, candidates[0])
+        excluded = next_excluded(excluded, candidates[0])
     assert all(len(set(tried[start : start + 4])) == 4 for start in range(0, tries - 4, 4))
--- a/tests/decisions/test_come_back.py
+++ b/tests/decisions/test_outage_retry.py
@@ -5,7 +5,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranberryline.decisions.come_back import LATEST, SOONEST, come_back_after
+from cranberryline.decisions.outage_retry import (
+    MAX_OUTAGE_RETRY_DELAY,
+    MIN_OUTAGE_RETRY_DELAY,
+    outage_retry_delay,
+)
 
 ATTEMPT_TIMEOUT = timedelta(milliseconds=950)
 RETRY_PERIOD = timedelta(seconds=6)
@@ -15,8 +19,8 @@
 def test_delay_does_not_shrink_in_a_longer_outage(one: int, two: int) -> None:
     """The delay was shorter for a longer outage, or out of range."""
     younger, older = sorted((one, two))
-    delays = [come_back_after(timedelta(milliseconds=age)) for age in (younger, older)]
-    assert SOONEST <= delays[0] <= delays[1] <= LATEST
+    delays = [outage_retry_delay(timedelta(milliseconds=age)) for age in (younger, older)]
+    assert MIN_OUTAGE_RETRY_DELAY <= delays[0] <= delays[1] <= MAX_OUTAGE_RETRY_DELAY
 
 
 def test_caller_still_retries_in_the_last_second_before_it_gives_up() -> None:
@@ -30,7 +34,7 @@
         now = timedelta()
         while True:
             failed = now + ATTEMPT_TIMEOUT
-            retry_at = failed + come_back_after(timedelta(milliseconds=outage_ms) + failed)
+            retry_at = failed + outage_retry_delay(timedelta(milliseconds=outage_ms) + failed)
             if retry_at > RETRY_PERIOD:
                 break
             now = retry_at
--- a/tests/decisions/test_turned_away.py
+++ b/tests/decisions/test_upstream_cooldown.py
@@ -6,24 +6,30 @@
 import pytest
 
 from cranberryline.decisions import RouteRequest, RoutingPolicy, UpstreamView
-from cranberryline.decisions.turned_away import REPLACED_REST, REST, TurnedAway
+from cranberryline.decisions.upstream_cooldown import (
+    REFUSED_COOLDOWN,
+    REPLACED_COOLDOWN,
+    UpstreamCooldowns,
+)
 
 NOW = timedelta(seconds=5)
 
 
 def test_cooldown_applies_only_to_the_refusing_upstream_and_ends() -> None:
     """Other upstreams stay available; an engine that loads weights is tried again meanwhile."""
-    cooldowns = TurnedAway()
-    cooldowns.note("a", NOW)
-    assert cooldowns.rests("a", NOW + REST / 2) and not cooldowns.rests("b", NOW)
-    assert not cooldowns.rests("a", NOW + REST)
+    cooldowns = UpstreamCooldowns()
+    cooldowns.start("a", NOW)
+    assert cooldowns.is_active("a", NOW + REFUSED_COOLDOWN / 2) and not cooldowns.is_active(
+        "b", NOW
+    )
+    assert not cooldowns.is_active("a", NOW + REFUSED_COOLDOWN)
 
 
 def test_ended_cooldowns_are_removed() -> None:
     """Upstreams are replaced all day; the state must not grow with each of them."""
-    cooldowns = TurnedAway()
+    cooldowns = UpstreamCooldowns()
     for number in range(1000):
-        cooldowns.note(str(number), NOW + number * REST)
+        cooldowns.start(str(number), NOW + number * REFUSED_COOLDOWN)
     assert len(cooldowns._until) <= 2
 
 
@@ -57,7 +63,7 @@
             attempts += 1
             if int(chosen) >= outdated:
                 break
-            until[int(chosen)] = now + REPLACED_REST
+            until[int(chosen)] = now + REPLACED_COOLDOWN
             excluded |= {chosen}
     return attempts / requests
 
--- a/tests/failures/test_direct.py
+++ b/tests/failures/test_direct.py
@@ -7,7 +7,7 @@
 import attrs
 import pytest
 
-from cranberryline.decisions.retry import BUDGET_CAP
+from cranberryline.decisions.retry import MAX_BUDGET_TOKENS
 from stand_ins.client import EntryClient, Reply
 from stand_ins.deployment import DeploymentPlan, load_plan
 from stand_ins.launcher import Deployment, launched
@@ -15,7 +15,7 @@
 SERVICE = "pickup-app"
 UPSTREAMS = (f"{SERVICE}-1", f"{SERVICE}-2")
 # Half of them may be made again: no more than an entry's retry budget holds, were all lost at once.
-CALLS_AT_ONCE = 2 * int(BUDGET_CAP)
+CALLS_AT_ONCE = 2 * int(MAX_BUDGET_TOKENS)
 # An entry that stops serves on for three seconds, while the balancer notices.
 LONGER_THAN_THE_NOTICE_S = 6.0
 
--- a/tests/jobs/test_first_reads.py
+++ b/tests/jobs/test_first_reads.py
@@ -8,7 +8,12 @@
 import pytest
 from result import Err, Ok, Result
 
-from cranberryline.decisions.first_reads import AT_ONCE, PAGE_KB, TURN, ReadPace
+from cranberryline.decisions.startup_reads import (
+    INITIAL_CONCURRENCY,
+    MIN_SLOT_TIME,
+    PAGE_KB,
+    StartupReadLimits,
+)
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.helpers.tail import StoreHealth
 from cranberryline.jobs.read_limiter import ReadLimiter
@@ -102,7 +107,7 @@
         read = link.async_read
 
         async def partly(topic: str, part: int, *args: Any) -> Any:
-            if part < 2 * AT_ONCE:
+            if part < 2 * INITIAL_CONCURRENCY:
                 await asyncio.sleep(3)
                 return Err(StoreError(StoreProblem.UNKNOWN, "no answer"))
             return await read(topic, part, *args)
@@ -111,8 +116,8 @@
         health, keep = StoreHealth(clock), timedelta(seconds=180)
         jobs = JobService(link, PARTS, clock, health, Metrics(), keep)
         following = [asyncio.ensure_future(tail.async_run()) for tail in jobs.tails]
-        await asyncio.sleep(2.5 * TURN.total_seconds())
-        assert all(tail.loaded.is_set() for tail in jobs.tails[2 * AT_ONCE :])
+        await asyncio.sleep(2.5 * MIN_SLOT_TIME.total_seconds())
+        assert all(tail.loaded.is_set() for tail in jobs.tails[2 * INITIAL_CONCURRENCY :])
         for task in following:
             task.cancel()
 
@@ -123,9 +128,9 @@
     """One that waits for its turn and one that has it are cancelled: the third has it at once."""
 
     async def scene() -> None:
-        pace, done = ReadPace(), []
-        pace.at_once = 1
-        turns = ReadLimiter(pace, LoopClock())
+        limits, done = StartupReadLimits(), []
+        limits.max_concurrent = 1
+        turns = ReadLimiter(limits, LoopClock())
 
         def call(name: str, seconds: float) -> Callable[[timedelta], Awaitable[Any]]:
             async def read(_patience: timedelta) -> Result[None, StoreError]:
--- a/tests/jobs/test_restarted_engine.py
+++ b/tests/jobs/test_restarted_engine.py
@@ -46,7 +46,7 @@
         harness.add(FIRST, stop_at=2)
         item_task = asyncio.ensure_future(harness.async_run_item())
         await asyncio.sleep(0.3)
-        harness.context.rejecting_upstreams.note(FIRST.key, harness.context.clock.monotonic())
+        harness.context.rejecting_upstreams.start(FIRST.key, harness.context.clock.monotonic())
         restarted = harness.add(make_next_start(FIRST))
         result = await item_task
         assert result.text == "v1.1\nv1.2\nv1.3\nv1.4"
--- a/tests/platform/test_quarantine.py
+++ b/tests/platform/test_quarantine.py
@@ -204,7 +204,9 @@
 
 def test_a_held_request_is_served_again_after_its_trial(monkeypatch: pytest.MonkeyPatch) -> None:
     """It crashes nothing any more, and nobody releases it: its first trial clears it at both gateways."""
-    monkeypatch.setattr("cranberryline.decisions.blame.FIRST_TRIAL", timedelta(seconds=2))
+    monkeypatch.setattr(
+        "cranberryline.decisions.crash_attribution.FIRST_TRIAL_DELAY", timedelta(seconds=2)
+    )
 
     async def scene() -> None:
         made = await async_scene()
--- a/tests/platform/test_store_pages.py
+++ b/tests/platform/test_store_pages.py
@@ -3,7 +3,7 @@
 import asyncio
 from datetime import timedelta
 
-from cranberryline.decisions.first_reads import PAGE_KB
+from cranberryline.decisions.startup_reads import PAGE_KB
 from cranberryline.platform.store import HttpStore
 from cranberryline.ports.store import StoreProblem
 from stand_ins.platform_store import PlatformStore
--- a/tests/quarantine/test_keeper.py
+++ b/tests/quarantine/test_keeper.py
@@ -6,7 +6,12 @@
 import msgspec
 import pytest
 
-from cranberryline.decisions.blame import FIRST_TRIAL, HELD_FOR, MAX_REQUESTS, SUSPECTED_FOR
+from cranberryline.decisions.crash_attribution import (
+    CRASH_TTL,
+    FIRST_TRIAL_DELAY,
+    HELD_CRASH_TTL,
+    MAX_TRACKED_REQUESTS,
+)
 from cranberryline.quarantine import CrashRecord, fingerprint
 from tests.store_fake import StoreLink
 
@@ -168,13 +173,13 @@
         await fleet.nodes[0].async_crash("a", "b", "c")
         await async_pause(1)
         assert not await fleet.nodes[0].quarantine.async_try(POISON)
-        await async_pause(FIRST_TRIAL.total_seconds())
+        await async_pause(FIRST_TRIAL_DELAY.total_seconds())
         tried = [await node.quarantine.async_try(POISON) for node in fleet.nodes * 2]
         assert sum(tried) == 1
         await async_pause(_SOON)
         for node in fleet.nodes:
             held = node.quarantine.held(POISON)
-            assert held is not None and held.retry_after > FIRST_TRIAL
+            assert held is not None and held.retry_after > FIRST_TRIAL_DELAY
 
     play(scene, gateways=4)
 
@@ -185,7 +190,7 @@
     async def scene(fleet: Fleet) -> None:
         (node,) = fleet.nodes
         await node.async_crash("a", "b", "c")
-        await async_pause(FIRST_TRIAL.total_seconds() + 1)
+        await async_pause(FIRST_TRIAL_DELAY.total_seconds() + 1)
         append = node.link.async_append
 
         async def async_slowly_answered(*args: Any, **more: Any) -> Any:
@@ -206,11 +211,11 @@
     async def scene(fleet: Fleet) -> None:
         first = fleet.nodes[0]
         await first.async_crash("a", "b", "c")
-        await async_pause(FIRST_TRIAL.total_seconds() + 1)
+        await async_pause(FIRST_TRIAL_DELAY.total_seconds() + 1)
         assert await first.quarantine.async_try(POISON)
         await async_pause(_SOON)
         late = (await fleet.async_add()).quarantine.held(POISON)
-        assert late is not None and late.retry_after > 2 * FIRST_TRIAL
+        assert late is not None and late.retry_after > 2 * FIRST_TRIAL_DELAY
 
     play(scene)
 
@@ -223,7 +228,7 @@
         await first.async_crash("a", "b", "c")
         await async_pause(_SOON)
         second.link.silent = True
-        await async_pause(2 * FIRST_TRIAL.total_seconds())
+        await async_pause(2 * FIRST_TRIAL_DELAY.total_seconds())
         assert not await second.quarantine.async_try(POISON)
 
     play(scene)
@@ -291,9 +296,9 @@
         await second.async_crash("b", "c", "d", request=BESIDE)
         await async_pause(1)
         fleet.live.discard(first.name)
-        await async_pause(SUSPECTED_FOR.total_seconds() + 40)
+        await async_pause(CRASH_TTL.total_seconds() + 40)
         assert fleet.kept() == {f"{BESIDE}/{upstream}" for upstream in "bcd"}
-        await async_pause(HELD_FOR.total_seconds())
+        await async_pause(HELD_CRASH_TTL.total_seconds())
         assert fleet.kept() == set()
         assert not any(node.quarantine.suspecting for node in fleet.nodes)
 
@@ -330,13 +335,13 @@
 
     async def scene(fleet: Fleet) -> None:
         (node,) = fleet.nodes
-        for number in range(MAX_REQUESTS + 200):
+        for number in range(MAX_TRACKED_REQUESTS + 200):
             record = CrashRecord("n9", node.clock.now().timestamp())
             value = msgspec.msgpack.encode(record)
             StoreLink(fleet.store).put(TOPIC, f"{number:032x}/u{number}", value)
         await async_pause(1)
-        assert len(node.quarantine.suspected()) == MAX_REQUESTS
-        assert len(node.quarantine._records) == MAX_REQUESTS
+        assert len(node.quarantine.suspected()) == MAX_TRACKED_REQUESTS
+        assert len(node.quarantine._records) == MAX_TRACKED_REQUESTS
 
     play(scene, gateways=1)
 
