--- a/cranberryline/jobs/__init__.py
+++ b/cranberryline/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Batch jobs: accepted once, kept whole, run by any node, listed alike by all."""
+"""Batch jobs: accepted once, stored durably, run by any node, listed identically by all."""
 
 from .book import JobBook
 from .codec import decode_record, encode_job, encode_records
--- a/cranberryline/jobs/book.py
+++ b/cranberryline/jobs/book.py
@@ -1,4 +1,4 @@
-"""The fold of a partition's records: every node that reads them lists the same."""
+"""The state of all jobs, derived from the records of their partitions, identical on all nodes."""
 
 import zlib
 from collections.abc import Callable, Iterable
@@ -34,173 +34,191 @@
 
 
 @attrs.define(eq=False)
-class _Parts:
+class _IncompleteJob:
     seen_at: timedelta
     first_offset: int
-    pieces: dict[int, bytes] = attrs.field(factory=dict)
+    data_by_index: dict[int, bytes] = attrs.field(factory=dict)
 
 
 class JobBook:
-    """Fold job records in the order of their partition.
+    """Apply job records in the order of their partition.
 
-    A job that is submitted at several nodes at once is appended by each of them: the copy that is
-    complete first stands, and all nodes agree on which that is without a lock. The same holds for
-    an item that two nodes ran: its first result stands at its position for good.
+    A job that is submitted to several nodes is appended by each of them. The first copy that is
+    complete in the log wins, so all nodes agree on it without a lock. Likewise, if two nodes ran
+    the same item, its first result permanently keeps its position.
     """
 
     def __init__(self, clock: Clock, keep: timedelta) -> None:
         self.jobs: dict[str, JobState] = {}
         self._clock = clock
-        self._keep = keep
-        self._parts: dict[tuple[str, str, int], _Parts] = {}
-        self._completed: dict[str, tuple[JobState, int, Listed]] = {}
-        self._begun: dict[str, tuple[JobState, int]] = {}
-        self._ended_unseen: dict[str, timedelta] = {}
-        self._closed: dict[str, timedelta] = {}
+        self._retention = keep
+        self._incomplete_jobs: dict[tuple[str, str, int], _IncompleteJob] = {}
+        self._completed_items: dict[str, tuple[JobState, int, Listed]] = {}
+        self._partial_texts: dict[str, tuple[JobState, int]] = {}
+        self._ended_before_seen: dict[str, timedelta] = {}
+        self._closed_jobs: dict[str, timedelta] = {}
         self._listeners: list[Callable[[JobState], None]] = []
 
     def listen(self, listener: Callable[[JobState], None]) -> None:
-        """Call back after each change of a job."""
+        """Register a callback that is called after each change of a job."""
         self._listeners.append(listener)
 
     def apply(self, record: JobRecord, offset: int = 0) -> Result[None, str]:
-        """Take the next record, which stands at `offset`; the error says why it changes nothing though it should.
+        """Apply the next record, which is stored at `offset`; the error says why it is invalid.
 
-        Results and ends of jobs that are not known here are no errors: they outlive their jobs.
+        Results and ends of unknown jobs are not errors, because they outlive their jobs.
         """
         state = self.jobs.get(record.job)
         if isinstance(record, JobPart):
-            if state is not None or record.job in self._closed:
+            if state is not None or record.job in self._closed_jobs:
                 return Ok(None)
-            return self._take_part(record, offset)
+            return self._apply_part(record, offset)
         if state is None:
             if isinstance(record, JobEnded):
-                # A copy of the job that took effect late may be all that is kept of it besides its end.
-                self._ended_unseen[record.job] = self._clock.monotonic()
+                # A delayed copy of the job may follow after its other records were deleted; it must
+                # not reopen the job.
+                self._ended_before_seen[record.job] = self._clock.monotonic()
             return Ok(None)
         if isinstance(record, TextPiece):
-            return self._take_piece(state, record, moved=True)
+            return self._apply_piece(state, record, is_progress=True)
         if isinstance(record, TextsBegin):
             if record.offset < 0:
-                return Err("texts before the first record")
+                return Err("offset of the job texts is negative")
             state.note_texts(record.offset)
             return Ok(None)
         if isinstance(record, JobEnded):
             state.ended = True
         elif not 0 <= record.index < len(state.head.items):
-            return Err("a result of no item")
+            return Err("result index is out of range")
         elif isinstance(record, PackedResult) and zlib.crc32(record.data) != record.crc:
-            return Err("a result with changed bytes")
+            return Err("checksum of the result does not match")
         else:
-            self._take_result(state, record)
+            self._apply_result(state, record)
         self._notify(state)
         return Ok(None)
 
     def keep_piece(self, piece: TextPiece) -> None:
-        """Take a piece that was read for a run to go on from; one that fits nothing is passed over."""
+        """Apply a text piece read to resume a run; a piece that does not fit is ignored."""
         state = self.jobs.get(piece.job)
         if state is not None:
-            self._take_piece(state, piece, moved=False)
+            self._apply_piece(state, piece, is_progress=False)
 
     def completed(self, item: Item) -> ItemResult | None:
-        """Return the result that some job lists of just this item, if it is complete.
+        """Return the completed result that some job lists for an identical item, if any.
 
-        A trainer asks again for groups that an earlier job did not finish; what is listed of them
-        need not be made twice.
+        Trainers resubmit groups that an earlier job did not finish; their listed results are
+        reused.
         """
-        found = self._completed.get(item.id)
+        found = self._completed_items.get(item.id)
         if found is None:
             return None
         state, index, listed = found
-        same = state.readable and state.job.items[index] == item
-        return listed.result if same else None
+        is_same = state.readable and state.job.items[index] == item
+        return listed.result if is_same else None
 
     def begun(self, item: Item) -> KeptText | None:
-        """Return the longest text that some job keeps of just this item."""
-        found = self._begun.get(item.id)
+        """Return the longest partial text that some job stores for an identical item."""
+        found = self._partial_texts.get(item.id)
         if found is None:
             return None
         state, index = found
-        same = state.readable and same_request(state.job.items[index], item)
-        return state.texts.best(index) if same else None
+        is_same = state.readable and same_request(state.job.items[index], item)
+        return state.texts.best(index) if is_same else None
 
     def forget_old(self) -> None:
-        """Drop jobs that nobody may ask for any more, and parts whose writer never came to the last.
+        """Remove jobs past their retention time, and parts of jobs that were never completed.
 
-        An open job may be asked for until it ends; forgotten while open, its runs would not hear of that.
-        Jobs stand in the order in which they were seen.
+        Open jobs are kept until they end, because their runs would otherwise not learn of the end.
+        Jobs are sorted by the time at which they were first seen.
         """
-        limit = self._clock.monotonic() - self._keep
-        for key in [key for key, parts in self._parts.items() if parts.seen_at < limit]:
-            del self._parts[key]
-        old: list[JobState] = []
+        cutoff = self._clock.monotonic() - self._retention
+        for key in [
+            key for key, incomplete in self._incomplete_jobs.items() if incomplete.seen_at < cutoff
+        ]:
+            del self._incomplete_jobs[key]
+        expired: list[JobState] = []
         for state in self.jobs.values():
-            if state.seen_at >= limit:
+            if state.seen_at >= cutoff:
                 break
             if not state.open:
-                old.append(state)
-        for state in old:
+                expired.append(state)
+        for state in expired:
             del self.jobs[state.head.id]
             for item in state.head.items:
-                self._completed.pop(item.id, None)
-                self._forget_begun(item.id, state)
-        for seen in (self._ended_unseen, self._closed):
-            for job_id in [job_id for job_id, at in seen.items() if at < limit]:
+                self._completed_items.pop(item.id, None)
+                self._remove_partial_text(item.id, state)
+        for seen in (self._ended_before_seen, self._closed_jobs):
+            for job_id in [job_id for job_id, at in seen.items() if at < cutoff]:
                 del seen[job_id]
 
     def mark(self, end: int, among: Callable[[str], bool]) -> PartitionMark:
-        """Return where a reader may begin that knows nothing yet of the jobs `among` some, read up to `end`."""
-        held = [state for state in self.jobs.values() if among(state.head.id) and self._held(state)]
-        begins = [state.first_offset for state in held]
-        begins += [parts.first_offset for key, parts in self._parts.items() if among(key[0])]
-        closed = {*self.jobs, *self._ended_unseen, *self._closed}
-        closed.difference_update(state.head.id for state in held)
-        return PartitionMark(min(begins, default=end), tuple(sorted(filter(among, closed))))
+        """Return where a new reader may start reading the partition that is read up to `end`.
+
+        `among` returns whether a job ID belongs to the partition.
+        """
+        needed = [
+            state for state in self.jobs.values() if among(state.head.id) and self._is_needed(state)
+        ]
+        start_offsets = [state.first_offset for state in needed]
+        start_offsets += [
+            incomplete.first_offset
+            for key, incomplete in self._incomplete_jobs.items()
+            if among(key[0])
+        ]
+        closed = {*self.jobs, *self._ended_before_seen, *self._closed_jobs}
+        closed.difference_update(state.head.id for state in needed)
+        return PartitionMark(min(start_offsets, default=end), tuple(sorted(filter(among, closed))))
 
     def texts_begin(self, among: Callable[[str], bool]) -> int | None:
-        """Return where the texts begin of jobs that somebody works on or reads, None where none is kept."""
-        begins = [
+        """Return the lowest text offset of the jobs that are still needed.
+
+        A job is needed while it has work or may be read by its caller. Only jobs for which `among`
+        returns True are included. Returns None if no text of such a job is stored.
+        """
+        start_offsets = [
             state.texts_begin
             for state in self.jobs.values()
-            if state.texts_begin is not None and among(state.head.id) and self._held(state)
+            if state.texts_begin is not None and among(state.head.id) and self._is_needed(state)
         ]
-        return min(begins, default=None)
+        return min(start_offsets, default=None)
 
     def close(self, job_ids: Iterable[str]) -> None:
-        """Note jobs of which all that matters lies before the mark that this reader begins at."""
+        """Record jobs whose relevant records all precede the mark at which this reader started."""
         now = self._clock.monotonic()
-        self._closed.update(dict.fromkeys(job_ids, now))
+        self._closed_jobs.update(dict.fromkeys(job_ids, now))
 
     def closed(self, job_id: str) -> bool:
-        """Tell whether a job is known to be kept, though nothing of it has been read here."""
-        return job_id in self._closed
+        """Return whether a job is known to be stored although none of it was read here."""
+        return job_id in self._closed_jobs
 
     def adopt(self, older: "JobBook", among: Callable[[str], bool]) -> None:
-        """Take over what another fold of the same records knows besides, read from an earlier record on.
+        """Merge the state of a book that read the same partition from an earlier record on.
 
-        What both know stays as it is here. Records that the other one had read already change nothing when they
-        are taken again.
+        `among` returns whether a job ID belongs to the partition. Jobs that both books know keep
+        the state they have here. Applying a record again that the other book has already applied
+        changes nothing.
         """
-        found = {key: state for key, state in older.jobs.items() if key not in self.jobs}
-        # Jobs stand in the order in which they were seen.
-        self.jobs = {**found, **self.jobs}
-        for item_id, (state, index, listed) in older._completed.items():
-            if state.head.id in found:
-                self._completed.setdefault(item_id, (state, index, listed))
-        for item_id, begun in older._begun.items():
-            if begun[0].head.id in found:
-                self._begun.setdefault(item_id, begun)
-        self._ended_unseen = {**older._ended_unseen, **self._ended_unseen}
-        for job_id in filter(among, tuple(self._closed)):
-            del self._closed[job_id]
-        for state in found.values():
+        added = {key: state for key, state in older.jobs.items() if key not in self.jobs}
+        # Jobs stay sorted by the time at which they were first seen.
+        self.jobs = {**added, **self.jobs}
+        for item_id, (state, index, listed) in older._completed_items.items():
+            if state.head.id in added:
+                self._completed_items.setdefault(item_id, (state, index, listed))
+        for item_id, partial_text in older._partial_texts.items():
+            if partial_text[0].head.id in added:
+                self._partial_texts.setdefault(item_id, partial_text)
+        self._ended_before_seen = {**older._ended_before_seen, **self._ended_before_seen}
+        for job_id in filter(among, tuple(self._closed_jobs)):
+            del self._closed_jobs[job_id]
+        for state in added.values():
             self._notify(state)
 
     def miss_records(self, among: Callable[[str], bool]) -> None:
-        """Take it that records were deleted unread, of the jobs `among` some.
+        """Handle the deletion of records before they were read here.
 
-        An open job may have ended, so it gets no more work. A job that is not complete may lack results:
-        listed on from here, its positions would hold other results than at every other node.
+        `among` returns whether the records of a job may be affected. An open job may have ended, so
+        it gets no more work. An incomplete job may lack results: new results would get other
+        positions here than on other nodes.
         """
         for state in [state for state in self.jobs.values() if among(state.head.id)]:
             state.lacking = state.lacking or len(state.done) < len(state.head.items)
@@ -210,35 +228,37 @@
             state.ended = True
             self._notify(state)
 
-    def _take_part(self, part: JobPart, offset: int) -> Result[None, str]:
-        """Take a part; only parts of one writer that agree on their number make a job.
+    def _apply_part(self, part: JobPart, offset: int) -> Result[None, str]:
+        """Apply a part; a job is made from parts of one writer that agree on their total.
 
-        What turns out to be none takes nothing with it: parts of the same job by another writer may have
-        been accepted already, and thrown away with it that job would be lost.
+        Invalid parts leave the parts of other writers alone: those may belong to a job that was
+        already accepted, which would be lost with them.
         """
         if not 0 <= part.index < part.total <= MAX_PARTS:
-            return Err("a part of no job")
+            return Err("index or total of the part is out of range")
         key = (part.job, part.writer, part.total)
-        parts = self._parts.setdefault(key, _Parts(self._clock.monotonic(), offset))
-        parts.pieces[part.index] = part.data
-        if len(parts.pieces) < part.total:
+        incomplete = self._incomplete_jobs.setdefault(
+            key, _IncompleteJob(self._clock.monotonic(), offset)
+        )
+        incomplete.data_by_index[part.index] = part.data
+        if len(incomplete.data_by_index) < part.total:
             return Ok(None)
-        del self._parts[key]
-        read = decode_job(parts.pieces[number] for number in range(part.total))
-        if isinstance(read, Err):
-            return Err(read.unwrap_err())
-        head, details = read.unwrap()
+        del self._incomplete_jobs[key]
+        decoded = decode_job(incomplete.data_by_index[index] for index in range(part.total))
+        if isinstance(decoded, Err):
+            return Err(decoded.unwrap_err())
+        head, details = decoded.unwrap()
         if head.id != part.job:
-            return Err("parts of another job")
-        for other in [other for other in self._parts if other[0] == part.job]:
-            del self._parts[other]
-        state = JobState(head, details, self._clock.monotonic(), parts.first_offset)
+            return Err("job ID differs from that of its parts")
+        for other in [other for other in self._incomplete_jobs if other[0] == part.job]:
+            del self._incomplete_jobs[other]
+        state = JobState(head, details, self._clock.monotonic(), incomplete.first_offset)
         self.jobs[part.job] = state
-        state.ended = self._ended_unseen.pop(part.job, None) is not None
+        state.ended = self._ended_before_seen.pop(part.job, None) is not None
         self._notify(state)
         return Ok(None)
 
-    def _take_result(self, state: JobState, record: ResultRecord | PackedResult) -> None:
+    def _apply_result(self, state: JobState, record: ResultRecord | PackedResult) -> None:
         if record.index in state.done:
             return
         if isinstance(record, PackedResult):
@@ -251,36 +271,38 @@
         item = state.head.items[record.index]
         state.moved_at[item.group] = self._clock.monotonic()
         state.texts.forget(record.index)
-        self._forget_begun(item.id, state)
+        self._remove_partial_text(item.id, state)
         if completed:
-            self._completed[item.id] = (state, record.index, listed)
+            self._completed_items[item.id] = (state, record.index, listed)
 
-    def _take_piece(self, state: JobState, piece: TextPiece, moved: bool) -> Result[None, str]:
-        """Keep a piece of a text, and count it as a sign that its group goes on where it is one of now."""
+    def _apply_piece(
+        self, state: JobState, piece: TextPiece, is_progress: bool
+    ) -> Result[None, str]:
+        """Store a text piece; with `is_progress` it also counts as progress of its group."""
         if not 0 <= piece.index < len(state.head.items):
-            return Err("a piece of no item")
+            return Err("index of the text piece is out of range")
         if zlib.crc32(piece.data) != piece.crc:
-            return Err("a piece with changed bytes")
+            return Err("checksum of the text piece does not match")
         if piece.index in state.done:
             return Ok(None)
         if not state.texts.take(piece):
-            return Err("a piece that follows none")
+            return Err("text piece does not follow the stored pieces")
         item = state.head.items[piece.index]
-        if moved:
+        if is_progress:
             state.moved_at[item.group] = self._clock.monotonic()
-        self._begun[item.id] = (state, piece.index)
+        self._partial_texts[item.id] = (state, piece.index)
         return Ok(None)
 
-    def _held(self, state: JobState) -> bool:
-        """Tell whether somebody works on a job, or reads it because its end is still to come."""
+    def _is_needed(self, state: JobState) -> bool:
+        """Return whether a job still has work or may still be read by its caller."""
         if state.ended:
             return False
         return state.open or self._clock.monotonic() - state.seen_at < READ_FOR
 
-    def _forget_begun(self, item_id: str, state: JobState) -> None:
-        found = self._begun.get(item_id)
+    def _remove_partial_text(self, item_id: str, state: JobState) -> None:
+        found = self._partial_texts.get(item_id)
         if found is not None and found[0] is state:
-            del self._begun[item_id]
+            del self._partial_texts[item_id]
 
     def _notify(self, state: JobState) -> None:
         for listener in self._listeners:
--- a/cranberryline/jobs/codec.py
+++ b/cranberryline/jobs/codec.py
@@ -1,4 +1,4 @@
-"""Jobs and their records as bytes of the store."""
+"""Encoding of jobs and their records for the store."""
 
 import math
 import struct
@@ -38,40 +38,41 @@
 ]
 
 _ENCODER = msgspec.msgpack.Encoder()
-_RECORDS = msgspec.msgpack.Decoder(JobRecord)
-_JOBS = msgspec.msgpack.Decoder(Job)
-_HEADS = msgspec.msgpack.Decoder(JobHead)
-_ITEMS = msgspec.msgpack.Decoder(tuple[Item, ...])
-_EVENTS = msgspec.msgpack.Decoder(tuple[str, ...])
-_RESULTS = msgspec.msgpack.Decoder(ItemResult)
-_PACKED = b"z"
-_PLAIN = b"p"
-_SMALL = 256
-# Begins a job whose head stands apart from its items; the jobs of before begin with zlib's own mark.
-_APART = b"h"
-_HEAD_SIZE = struct.Struct(">I")
+_RECORD_DECODER = msgspec.msgpack.Decoder(JobRecord)
+_JOB_DECODER = msgspec.msgpack.Decoder(Job)
+_JOB_HEAD_DECODER = msgspec.msgpack.Decoder(JobHead)
+_ITEMS_DECODER = msgspec.msgpack.Decoder(tuple[Item, ...])
+_EVENTS_DECODER = msgspec.msgpack.Decoder(tuple[str, ...])
+_RESULT_DECODER = msgspec.msgpack.Decoder(ItemResult)
+_COMPRESSED_PREFIX = b"z"
+_UNCOMPRESSED_PREFIX = b"p"
+_MIN_COMPRESSED_BYTES = 256
+# First byte of a job whose head is stored separately from its items. Jobs written by older releases
+# start with a zlib header instead.
+_SPLIT_JOB_PREFIX = b"h"
+_HEAD_LENGTH = struct.Struct(">I")
 
 
 def encode_job(job: Job, writer: str) -> list[JobPart]:
-    """Return the parts of a job in their order: its head, and behind it all of its items.
+    """Return the parts of an encoded job in order: its head, followed by all of its items.
 
-    Every node reads every job, and two or three run its items. With the items apart and packed, a job of
-    112 items of 1 KB costs the others 0.3 ms of processor time instead of 3.2 (`script/bench fold`).
-    A job that is too long to be read again has no parts.
+    Every node reads every job, but only two or three nodes run its items. The others skip the
+    items, which are compressed separately: a job of 112 items of 1 KB costs them 0.3 ms of CPU time
+    instead of 3.2 ms. A job that is too large to be decoded again has no parts.
     """
-    plain = _ENCODER.encode(job.items)
-    if len(plain) > MAX_JOB_BYTES:
+    encoded_items = _ENCODER.encode(job.items)
+    if len(encoded_items) > MAX_JOB_BYTES:
         return []
-    details = zlib.compress(plain, COMPRESSION_LEVEL)
+    details = zlib.compress(encoded_items, COMPRESSION_LEVEL)
     head = zlib.compress(_ENCODER.encode(head_of(job, zlib.crc32(details))), COMPRESSION_LEVEL)
-    data = b"".join((_APART, _HEAD_SIZE.pack(len(head)), head, details))
-    pieces = [data[at : at + PART_BYTES] for at in range(0, len(data), PART_BYTES)]
-    total = len(pieces)
-    return [JobPart(job.id, writer, number, total, piece) for number, piece in enumerate(pieces)]
+    data = b"".join((_SPLIT_JOB_PREFIX, _HEAD_LENGTH.pack(len(head)), head, details))
+    chunks = [data[start : start + PART_BYTES] for start in range(0, len(data), PART_BYTES)]
+    total = len(chunks)
+    return [JobPart(job.id, writer, index, total, chunk) for index, chunk in enumerate(chunks)]
 
 
 def head_of(job: Job, details_crc: int = 0) -> JobHead:
-    """Return what every node needs to know of a job."""
+    """Return the fields of a job that every node needs."""
     return JobHead(
         job.id,
         job.host,
@@ -87,87 +88,99 @@
 
 
 def decode_job(parts: Iterable[bytes]) -> Result[tuple[JobHead, bytes | tuple[Item, ...]], str]:
-    """Put a job together again: its head and its items, packed or not; or why the parts are no job."""
+    """Return the head and the items of a job from the data of its parts.
+
+    The items are still compressed, unless an older release wrote the job. The error says why the
+    parts are not a valid job.
+    """
     data = b"".join(parts)
-    if data[:1] == _APART:
-        return _decode_apart(data)
-    read = inflate(data, MAX_JOB_BYTES).and_then(lambda plain: decode_msgpack(plain, _JOBS))
-    if isinstance(read, Err):
-        return read
-    job = read.unwrap()
-    return _sound(head_of(job)).map(lambda head: (head, job.items))
-
-
-def _decode_apart(data: bytes) -> Result[tuple[JobHead, bytes | tuple[Item, ...]], str]:
-    at = len(_APART) + _HEAD_SIZE.size
-    if len(data) < at:
-        return Err("no job's head")
-    (size,) = _HEAD_SIZE.unpack_from(data, len(_APART))
-    read = inflate(data[at : at + size], MAX_JOB_BYTES).and_then(
-        lambda plain: decode_msgpack(plain, _HEADS)
+    if data[:1] == _SPLIT_JOB_PREFIX:
+        return _decode_split_job(data)
+    decoded = inflate(data, MAX_JOB_BYTES).and_then(
+        lambda encoded: decode_msgpack(encoded, _JOB_DECODER)
+    )
+    if isinstance(decoded, Err):
+        return decoded
+    job = decoded.unwrap()
+    return _validated(head_of(job)).map(lambda head: (head, job.items))
+
+
+def _decode_split_job(data: bytes) -> Result[tuple[JobHead, bytes | tuple[Item, ...]], str]:
+    head_start = len(_SPLIT_JOB_PREFIX) + _HEAD_LENGTH.size
+    if len(data) < head_start:
+        return Err("job head is truncated")
+    (head_length,) = _HEAD_LENGTH.unpack_from(data, len(_SPLIT_JOB_PREFIX))
+    decoded = inflate(data[head_start : head_start + head_length], MAX_JOB_BYTES).and_then(
+        lambda encoded: decode_msgpack(encoded, _JOB_HEAD_DECODER)
     )
-    details = data[at + size :]
-    if isinstance(read, Ok) and zlib.crc32(details) != read.unwrap().details_crc:
-        return Err("items with changed bytes")
-    return read.and_then(_sound).map(lambda head: (head, details))
+    details = data[head_start + head_length :]
+    if isinstance(decoded, Ok) and zlib.crc32(details) != decoded.unwrap().details_crc:
+        return Err("checksum of the items does not match")
+    return decoded.and_then(_validated).map(lambda head: (head, details))
 
 
-def _sound(head: JobHead) -> Result[JobHead, str]:
+def _validated(head: JobHead) -> Result[JobHead, str]:
     if not math.isfinite(head.submitted):
-        return Err("submitted at no time")
+        return Err("submission time is not finite")
     if len({item.id for item in head.items}) != len(head.items):
-        return Err("an item's id stands twice")
+        return Err("duplicate item ID")
     return Ok(head)
 
 
 def decode_items(details: bytes) -> Result[tuple[Item, ...], str]:
-    """Unpack a job's items; the error says why they cannot be read."""
-    return inflate(details, MAX_JOB_BYTES).and_then(lambda plain: decode_msgpack(plain, _ITEMS))
+    """Decode the items of a job; the error says why they cannot be decoded."""
+    return inflate(details, MAX_JOB_BYTES).and_then(
+        lambda encoded: decode_msgpack(encoded, _ITEMS_DECODER)
+    )
 
 
 def encode_records(records: Iterable[JobRecord]) -> list[bytes]:
-    """Return records as bytes; a long one is compressed, and a result packed within its record."""
+    """Return encoded records; long records are compressed, results already inside their record."""
     return [_encode(record) for record in records]
 
 
 def _encode(record: JobRecord) -> bytes:
     if isinstance(record, ResultRecord):
         completed = record.result.state is ItemState.COMPLETED
-        packed = _pack(_ENCODER.encode(record.result))
-        crc = zlib.crc32(packed)
-        record = PackedResult(record.job, record.index, completed, packed, crc)
+        compressed = _compress(_ENCODER.encode(record.result))
+        crc = zlib.crc32(compressed)
+        record = PackedResult(record.job, record.index, completed, compressed, crc)
     data = _ENCODER.encode(record)
-    return _PLAIN + data if isinstance(record, JobPart | PackedResult | TextPiece) else _pack(data)
+    return (
+        _UNCOMPRESSED_PREFIX + data
+        if isinstance(record, JobPart | PackedResult | TextPiece)
+        else _compress(data)
+    )
 
 
-def _pack(data: bytes) -> bytes:
-    if len(data) < _SMALL:
-        return _PLAIN + data
-    return _PACKED + zlib.compress(data, COMPRESSION_LEVEL)
+def _compress(data: bytes) -> bytes:
+    if len(data) < _MIN_COMPRESSED_BYTES:
+        return _UNCOMPRESSED_PREFIX + data
+    return _COMPRESSED_PREFIX + zlib.compress(data, COMPRESSION_LEVEL)
 
 
-def _unpack(data: bytes) -> Result[bytes, str]:
-    if data[:1] == _PACKED:
+def _decompress(data: bytes) -> Result[bytes, str]:
+    if data[:1] == _COMPRESSED_PREFIX:
         return inflate(data[1:], MAX_RECORD_BYTES)
-    return Ok(data[1:]) if data[:1] == _PLAIN else Err("neither packed nor plain")
+    return Ok(data[1:]) if data[:1] == _UNCOMPRESSED_PREFIX else Err("unknown compression prefix")
 
 
 def decode_record(data: bytes) -> JobRecord | None:
-    """Read a record, None if it is not one of ours."""
-    return _unpack(data).and_then(lambda plain: decode_msgpack(plain, _RECORDS)).ok()
+    """Decode a record; return None if it is not a valid one."""
+    return _decompress(data).and_then(lambda encoded: decode_msgpack(encoded, _RECORD_DECODER)).ok()
 
 
 def encode_events(events: Iterable[str]) -> tuple[bytes, int]:
-    """Return events packed, and the checksum of that."""
-    data = _pack(_ENCODER.encode(tuple(events)))
+    """Return encoded events and the CRC-32 checksum of the encoded bytes."""
+    data = _compress(_ENCODER.encode(tuple(events)))
     return data, zlib.crc32(data)
 
 
 def decode_events(data: bytes) -> tuple[str, ...] | None:
-    """Unpack events, None if they cannot be read."""
-    return _unpack(data).and_then(lambda plain: decode_msgpack(plain, _EVENTS)).ok()
+    """Decode events; return None if they cannot be decoded."""
+    return _decompress(data).and_then(lambda encoded: decode_msgpack(encoded, _EVENTS_DECODER)).ok()
 
 
 def decode_result(data: bytes) -> ItemResult | None:
-    """Unpack a result, None if it cannot be read."""
-    return _unpack(data).and_then(lambda plain: decode_msgpack(plain, _RESULTS)).ok()
+    """Decode a result; return None if it cannot be decoded."""
+    return _decompress(data).and_then(lambda encoded: decode_msgpack(encoded, _RESULT_DECODER)).ok()
--- a/cranberryline/jobs/errors.py
+++ b/cranberryline/jobs/errors.py
@@ -1,4 +1,4 @@
-"""Why a call about a batch job is not answered as asked."""
+"""Errors of calls about batch jobs."""
 
 import enum
 from datetime import timedelta
@@ -9,18 +9,18 @@
 
 
 class JobProblem(enum.StrEnum):
-    """What stands in the way."""
+    """The reason why a call is refused."""
 
     UNKNOWN_JOB = "unknown_job"
     UNKNOWN_ITEM = "unknown_item"
-    NOT_SURE = "job_not_sure"  # the store cannot be asked, so nothing can be ruled out
-    NOT_KEPT = "job_not_kept"  # the store refused it: nothing of it will run
-    MAY_BE_KEPT = "job_may_be_kept"  # no answer from the store: it may yet run
+    NOT_SURE = "job_not_sure"  # the store is unreachable: the answer is unknown
+    NOT_KEPT = "job_not_kept"  # the store refused the job: none of it will run
+    MAY_BE_KEPT = "job_may_be_kept"  # the store did not answer: the job may still run
 
 
 @attrs.frozen
 class JobRefused:
-    """A call that is not answered as asked; `retry_after` says when to try again, if that helps."""
+    """A refused call; `retry_after` is the delay before a retry, None if a retry does not help."""
 
     problem: JobProblem
     retry_after: timedelta | None = None
--- a/cranberryline/jobs/groups.py
+++ b/cranberryline/jobs/groups.py
@@ -1,4 +1,4 @@
-"""The groups of a job: how large they are, and which a reader has just been given whole."""
+"""The groups of a job: their sizes, and which of them were read completely."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -9,35 +9,36 @@
 
 
 def group_of(item: Item | ItemHead) -> str:
-    """Return an item's group; an item without one is a group by itself."""
+    """Return the group of an item; an item without one forms its own group."""
     return item.group or item.id
 
 
 class JobGroups:
-    """Follow which groups are listed whole, each result looked at once."""
+    """Track which groups are listed completely; each result is processed once."""
 
     def __init__(self, job: Job | JobHead) -> None:
         self.sizes = Counter(group_of(item) for item in job.items)
         self._items: Sequence[Item | ItemHead] = job.items
-        self._left = Counter(self.sizes)
-        self._seen = 0
-        self._untold: dict[str, int] = {}
+        self._remaining = Counter(self.sizes)
+        self._processed = 0
+        self._unreported: dict[str, int] = {}
 
     def newly_read(
         self, results: Sequence[tuple[int, object]], after: int, until: int
     ) -> list[str]:
-        """Return the groups whose last result stands at `after` or later and before `until`, sorted.
+        """Return the groups that became complete within a page of results, sorted.
 
-        Of each result only the item's number is looked at. Each group is named once, so a job brings a node no more lines in the log than it has groups,
-        however often it is read.
+        These are the groups whose last result is at position `after` or later and before `until`.
+        Only the item index of each result is used. Each group is returned once, so a job causes at
+        most one log line per group on each node, however often it is read.
         """
-        for position in range(self._seen, len(results)):
+        for position in range(self._processed, len(results)):
             group = group_of(self._items[results[position][0]])
-            self._left[group] -= 1
-            if not self._left[group]:
-                self._untold[group] = position
-        self._seen = len(results)
-        found = sorted(group for group, at in self._untold.items() if after <= at < until)
-        for group in found:
-            del self._untold[group]
-        return found
+            self._remaining[group] -= 1
+            if not self._remaining[group]:
+                self._unreported[group] = position
+        self._processed = len(results)
+        reported = sorted(group for group, end in self._unreported.items() if after <= end < until)
+        for group in reported:
+            del self._unreported[group]
+        return reported
--- a/cranberryline/jobs/history.py
+++ b/cranberryline/jobs/history.py
@@ -1,4 +1,4 @@
-"""What a partition holds before the mark at which this node began to read it."""
+"""Reading of the records that precede the mark at which this node started a partition."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -18,11 +18,12 @@
 
 
 class PartitionHistory:
-    """Read a partition from its oldest record on when a job is asked for that is not known here.
+    """Read a partition from its oldest record when an unknown job is requested.
 
-    The partition is folded once more beside the node's own fold, up to where that one stands, and what it lacks is
-    taken over from there: a job's positions follow from all of its records in their order, and some of a job that is
-    over may stand behind the mark.
+    The partition is read into a separate book, up to the offset that the node's own tail has
+    reached; jobs that the node lacks are then merged from it. All records are needed in their
+    order, because the positions of a job's results depend on it and some records of a finished job
+    may follow the mark.
     """
 
     def __init__(
@@ -32,64 +33,67 @@
         clock: Clock,
         health: StoreHealth,
         make_book: Callable[[], JobBook],
-        take: Callable[[JobBook, int, int, bytes], None],
-        adopt: Callable[[int, JobBook], None],
-        turns: ReadTurns,
+        apply_record: Callable[[JobBook, int, int, bytes], None],
+        merge: Callable[[int, JobBook], None],
+        read_turns: ReadTurns,
     ) -> None:
         self._log = log
         self._tails = tails
         self._clock = clock
         self._health = health
         self._make_book = make_book
-        self._take = take
-        self._adopt = adopt
-        self._turns = turns
-        self._unread: set[int] = set()
-        self._reading: dict[int, asyncio.Task[None]] = {}
+        self._apply_record = apply_record
+        self._merge = merge
+        self._read_turns = read_turns
+        self._incomplete_partitions: set[int] = set()
+        self._read_tasks: dict[int, asyncio.Task[None]] = {}
 
-    def begin_behind(self, part: int) -> None:
-        """Note that a partition is read from a mark on."""
-        self._unread.add(part)
+    def begin_behind(self, partition: int) -> None:
+        """Record that a partition is read from a mark instead of its oldest record."""
+        self._incomplete_partitions.add(partition)
 
-    async def async_whole(self, part: int, timeout: timedelta) -> bool:
-        """Read what is lacking of a partition, with all who ask meanwhile; False if it takes too long.
+    async def async_whole(self, partition: int, timeout: timedelta) -> bool:
+        """Read the missing records of a partition; return False if that exceeds the timeout.
 
-        The reading goes on then: whoever asks again finds more of it done.
+        Concurrent callers share one read. It continues after the timeout, so a retry finds more of
+        it done.
         """
-        if part not in self._unread:
+        if partition not in self._incomplete_partitions:
             return True
-        if part not in self._reading:
-            task = asyncio.ensure_future(self._async_read(part))
-            self._reading[part] = task
-            task.add_done_callback(lambda _: self._reading.pop(part, None))
+        if partition not in self._read_tasks:
+            task = asyncio.ensure_future(self._async_read(partition))
+            self._read_tasks[partition] = task
+            task.add_done_callback(lambda _: self._read_tasks.pop(partition, None))
         await asyncio.wait(
-            (self._reading[part],), timeout=max(timeout, timedelta()).total_seconds()
+            (self._read_tasks[partition],), timeout=max(timeout, timedelta()).total_seconds()
         )
-        return part not in self._unread
+        return partition not in self._incomplete_partitions
 
     async def async_close(self) -> None:
-        """End every reading."""
-        tasks = list(self._reading.values())
+        """Cancel all reads."""
+        tasks = list(self._read_tasks.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _async_read(self, part: int) -> None:
-        began = self._clock.monotonic()
-        book, own = self._make_book(), self._tails[part]
+    async def _async_read(self, partition: int) -> None:
+        started_at = self._clock.monotonic()
+        book, own_tail = self._make_book(), self._tails[partition]
         tail = PartitionTail(
             self._log,
             TOPIC_JOBS,
-            part,
+            partition,
             self._clock,
             self._health,
-            lambda offset, data: self._take(book, part, offset, data),
-            first_reads=self._turns,
+            lambda offset, data: self._apply_record(book, partition, offset, data),
+            first_reads=self._read_turns,
         )
-        while tail.offset < own.offset:
+        while tail.offset < own_tail.offset:
             if await tail.async_page() is not None:
                 await self._clock.async_sleep(REFRESH_PAUSE)
-        self._adopt(part, book)
-        self._unread.discard(part)
-        took = in_milliseconds(self._clock.monotonic() - began)
-        _LOGGER.info("history_read", part=part, records=tail.offset, jobs=len(book.jobs), ms=took)
+        self._merge(partition, book)
+        self._incomplete_partitions.discard(partition)
+        duration_ms = in_milliseconds(self._clock.monotonic() - started_at)
+        _LOGGER.info(
+            "history_read", part=partition, records=tail.offset, jobs=len(book.jobs), ms=duration_ms
+        )
--- a/cranberryline/jobs/keeper.py
+++ b/cranberryline/jobs/keeper.py
@@ -1,4 +1,4 @@
-"""Keep the texts that run here in the store, piece by piece."""
+"""Periodic checkpoints of running texts in the store."""
 
 import asyncio
 from collections import defaultdict
@@ -14,22 +14,23 @@
 
 __all__ = ["TextKeeper"]
 
-# What a killed node costs of a text, at most, besides the time to run again; a second of a text is some
-# 26 events and 4.5 KB packed, so a node with twenty long texts brings the store one call a partition and second.
-KEEP_EVERY = timedelta(seconds=1)
-# Up to this many nodes read every piece as it comes, in the topic of the jobs: each is a sign that its group goes on.
-# The bytes grow with the texts times the nodes, so in larger fleets only a run that goes on reads them.
-MOST_READERS = 16
-# Pieces in one call: of at most `MAX_PIECE_BYTES` each, so that a call takes them.
-_MAX_BATCH = 16
+# Limits how much of a text is lost with its node. A second of a text is about 26 events and 4.5 KB
+# compressed, so a node with 20 long texts makes one call per partition and second.
+CHECKPOINT_INTERVAL = timedelta(seconds=1)
+# Up to this number of nodes, pieces go to the topic of the jobs, where every node reads them and
+# sees that the group makes progress. The read volume grows with texts times nodes, so in larger
+# fleets only a run that resumes a text reads its pieces.
+MAX_PIECE_READERS = 16
+# Pieces in one call; each has at most `MAX_PIECE_BYTES`, so that the store accepts the call.
+_MAX_BATCH_PIECES = 16
 
 
 class TextKeeper:
-    """Append what running texts have made since the last time.
+    """Append what running texts have generated since the last checkpoint.
 
-    A text of several seconds that was lost with its node began again from nothing: whatever a step had under
-    way when all nodes were killed was late, and so was the step after it. Kept each second, it goes on where it
-    was. Short texts end before the first piece, and cost nothing.
+    Without checkpoints, a text that was lost with its node starts from the beginning: after a kill
+    of all nodes, the step in progress and the next one are late. With them a text resumes where it
+    was. Short texts end before the first piece and cause no calls.
     """
 
     def __init__(
@@ -41,64 +42,67 @@
     ) -> None:
         self._jobs = jobs
         self._clock = clock
-        self._running = running
-        self._nodes = nodes
+        self._running_items = running
+        self._node_count = nodes
         self._wake = asyncio.Event()
-        self._writers: dict[int, asyncio.Task[None]] = {}
+        self._append_tasks: dict[int, asyncio.Task[None]] = {}
 
     def wake(self) -> None:
-        """Look at running texts again: one has begun."""
+        """Resume checkpoints because a text has started."""
         self._wake.set()
 
     async def async_run(self) -> None:
-        """Keep texts until cancelled; without a running text nothing is looked at."""
+        """Write checkpoints until cancelled; sleep while no text is running."""
         while True:
             await self._wake.wait()
             self._wake.clear()
-            await self._clock.async_sleep(KEEP_EVERY)
-            runs = list(self._running())
+            await self._clock.async_sleep(CHECKPOINT_INTERVAL)
+            runs = list(self._running_items())
             if runs:
                 self._wake.set()
-            self._keep(runs)
+            self._start_appends(runs)
 
     async def async_close(self) -> None:
-        """End every append."""
-        writers = list(self._writers.values())
-        for task in writers:
+        """Cancel all appends."""
+        tasks = list(self._append_tasks.values())
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*writers, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _keep(self, runs: Iterable[ItemRun]) -> None:
-        by_part: defaultdict[int, list[tuple[ItemRun, TextPiece]]] = defaultdict(list)
+    def _start_appends(self, runs: Iterable[ItemRun]) -> None:
+        by_partition: defaultdict[int, list[tuple[ItemRun, TextPiece]]] = defaultdict(list)
         for run in runs:
-            part = partition_of(run.state.head.id, len(self._jobs.tails))
-            # A writer that waits for an outage's end has the pieces of its partition already.
-            piece = run.next_piece() if part not in self._writers else None
+            partition = partition_of(run.state.head.id, len(self._jobs.tails))
+            # An append that is waiting out an outage already has the pieces of its partition.
+            piece = run.next_piece() if partition not in self._append_tasks else None
             if piece is not None:
-                by_part[part].append((run, piece))
-        for part, pieces in by_part.items():
+                by_partition[partition].append((run, piece))
+        for partition, pieces in by_partition.items():
             task = asyncio.ensure_future(self._async_write(pieces))
-            self._writers[part] = task
-            task.add_done_callback(lambda _, part=part: self._writers.pop(part, None))
+            self._append_tasks[partition] = task
+            task.add_done_callback(
+                lambda _, partition=partition: self._append_tasks.pop(partition, None)
+            )
 
     async def _async_write(self, pieces: list[tuple[ItemRun, TextPiece]]) -> None:
-        """Append pieces; one whose append got no answer stays as it is and is appended again.
+        """Append pieces; a piece whose append was not acknowledged is retried unchanged.
 
-        Cut anew it would be longer under the same number, and if the first append stands after all, what follows
-        would follow nothing. What an outage held up goes at once when it is over.
+        A new piece with the same number would contain more events; if the first append took effect
+        after all, later pieces would not follow it. Events generated during an outage are appended
+        as soon as it is over.
         """
         while pieces:
-            batch, pieces = pieces[:_MAX_BATCH], pieces[_MAX_BATCH:]
+            batch, pieces = pieces[:_MAX_BATCH_PIECES], pieces[_MAX_BATCH_PIECES:]
             if not await self._async_append([piece for _, piece in batch]):
                 return
             for run, piece in batch:
                 run.confirm_piece(piece)
-                behind = run.next_piece()
-                if behind is not None:
-                    pieces.append((run, behind))
+                next_piece = run.next_piece()
+                if next_piece is not None:
+                    pieces.append((run, next_piece))
 
     async def _async_append(self, pieces: list[TextPiece]) -> bool:
-        if self._nodes() > MOST_READERS:
+        if self._node_count() > MAX_PIECE_READERS:
             return await self._jobs.texts.async_keep(pieces)
         records: list[JobRecord] = [*pieces]
         return await self._jobs.async_record(pieces[0].job, records)
--- a/cranberryline/jobs/knowledge.py
+++ b/cranberryline/jobs/knowledge.py
@@ -1,4 +1,4 @@
-"""How old what this node knows of a job may be, and whether work for it may go out by that."""
+"""The age of this node's view of a job, which decides whether work of the job may be sent."""
 
 import asyncio
 from collections.abc import Sequence
@@ -14,42 +14,45 @@
 
 
 class JobKnowledge:
-    """Tell from a node's tails of the jobs how young what it knows is.
+    """Determine the age of this node's view of jobs from the tails of their partitions.
 
-    The end of a job is learned by reading. A node that cannot read, or is slow to take in what it read,
-    would go on to send items of jobs whose trainers were told that they are over. A bound on the age of
-    what is known, checked as each request goes out, holds whatever the reason is. While nobody reaches
-    the store no end can be recorded, and work goes on.
+    A node learns of the end of a job by reading its partition. A node that cannot read, or is slow
+    to process what it read, would continue to send items of jobs whose trainers were told that they
+    had ended. Checking the age of the view when each request is sent prevents that regardless of
+    the cause. While no node can reach the store, no end can be recorded, and work continues.
     """
 
     def __init__(self, tails: Sequence[PartitionTail], clock: Clock) -> None:
         self._tails = tails
         self._clock = clock
-        self._refreshing: dict[int, asyncio.Future[None]] = {}
+        self._refreshes: dict[int, asyncio.Future[None]] = {}
 
     def age(self, job_id: str) -> timedelta | None:
-        """Return how old what is known of a job may be, None if of any age."""
-        return self._tails[self._part(job_id)].age()
+        """Return the maximum age of this node's view of a job, None if it is unbounded."""
+        return self._tails[self._partition(job_id)].age()
 
     def suffices(self, job_id: str) -> bool:
-        """Tell whether work for a job may go out now."""
+        """Return whether the view of a job is recent enough to send work of the job."""
         age = self.age(job_id)
         return age is not None and age < KNOWN_WITHIN
 
     async def async_refresh(self, job_id: str) -> None:
-        """Read to the end of a job's partition now, together with all who ask meanwhile."""
-        part = self._part(job_id)
-        reading = self._refreshing.get(part)
-        if reading is None:
-            reading = asyncio.ensure_future(self._async_read(part))
-            self._refreshing[part] = reading
-            reading.add_done_callback(lambda _: self._refreshing.pop(part, None))
-        await asyncio.shield(reading)
-
-    async def _async_read(self, part: int) -> None:
-        """Read once; a failed read rests, or hundreds of items would ask the store and peers in a loop."""
-        if not await self._tails[part].async_sync(REFRESH_TIMEOUT):
+        """Read to the end of a job's partition now; concurrent callers share one read."""
+        partition = self._partition(job_id)
+        refresh = self._refreshes.get(partition)
+        if refresh is None:
+            refresh = asyncio.ensure_future(self._async_read(partition))
+            self._refreshes[partition] = refresh
+            refresh.add_done_callback(lambda _: self._refreshes.pop(partition, None))
+        await asyncio.shield(refresh)
+
+    async def _async_read(self, partition: int) -> None:
+        """Read once, and wait after a failure.
+
+        Without the delay, hundreds of items would query the store and the peers in a loop.
+        """
+        if not await self._tails[partition].async_sync(REFRESH_TIMEOUT):
             await self._clock.async_sleep(REFRESH_PAUSE)
 
-    def _part(self, job_id: str) -> int:
+    def _partition(self, job_id: str) -> int:
         return partition_of(job_id, len(self._tails))
--- a/cranberryline/jobs/mark_keeper.py
+++ b/cranberryline/jobs/mark_keeper.py
@@ -1,4 +1,4 @@
-"""Write the marks of partitions, and begin at them."""
+"""Reading and writing of partition marks."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -22,13 +22,14 @@
 
 
 class MarkKeeper:
-    """Bound what a node reads when it starts by what is open, however long the log is.
+    """Limit what a starting node reads to the open jobs, regardless of the length of the log.
 
-    All nodes that start at once share the store's bandwidth. Reading the jobs of the last minutes, of which next to
-    all are over, takes each of them seconds in which nobody works. For each partition one live node, ranked alike by
-    all, writes where the open jobs begin. A node that starts begins there; what lies before is read where somebody
-    asks for it (`history.py`). `live` names the nodes that live. Two writers of one mark do no harm: each mark holds for
-    good.
+    Nodes that start at the same time share the bandwidth of the store. Reading all jobs of the last
+    minutes, almost all of which are finished, would keep every node from working for seconds. For
+    each partition, one live node chosen by rendezvous hashing writes a mark: the offset at which
+    the open jobs start. A starting node reads from there, and `PartitionHistory` reads the older
+    records on demand. `live` returns the IDs of the live nodes. Two concurrent writers of a mark
+    are harmless, because every mark stays valid.
     """
 
     def __init__(
@@ -48,12 +49,12 @@
         self._clock = clock
         self._health = health
         self._node = node
-        self._live = live
-        self._written: dict[int, PartitionMark] = {}
-        self._trim_at = timedelta()
+        self._live_nodes = live
+        self._last_written: dict[int, PartitionMark] = {}
+        self._next_trim_at = timedelta()
 
     async def async_run(self) -> None:
-        """Begin each partition at its mark, then write marks until cancelled."""
+        """Start each partition at its mark, then write marks until cancelled."""
         await self._async_load()
         self.loaded.set()
         while True:
@@ -61,46 +62,56 @@
             await self._async_write()
 
     async def _async_load(self) -> None:
-        """Read the marks; where they cannot be read in time, partitions begin with their oldest record."""
-        give_up = self._clock.monotonic() + MARKS_PATIENCE
-        while (left := give_up - self._clock.monotonic()) > timedelta():
-            loaded = await self._log.async_newest(self._topic, left)
-            if isinstance(loaded, Err):
+        """Read the marks.
+
+        Partitions start at their oldest record if the marks cannot be read in time.
+        """
+        deadline = self._clock.monotonic() + MARKS_PATIENCE
+        while (remaining := deadline - self._clock.monotonic()) > timedelta():
+            snapshot = await self._log.async_newest(self._topic, remaining)
+            if isinstance(snapshot, Err):
                 await self._clock.async_sleep(ACCEPT_PAUSE)
                 continue
-            for record in loaded.unwrap().records:
-                self._take(record.key, record.value)
+            for record in snapshot.unwrap().records:
+                self._apply_record(record.key, record.value)
             return
         _LOGGER.warning("marks_unread")
 
-    def _take(self, key: str, value: bytes) -> None:
-        read = read_mark(value)
-        part = int(key) if key.isascii() and key.isdigit() else -1
-        if isinstance(read, Err) or not 0 <= part < len(self._jobs.tails):
-            detail = read.err() or "no partition of ours"
+    def _apply_record(self, key: str, value: bytes) -> None:
+        decoded = read_mark(value)
+        partition = int(key) if key.isascii() and key.isdigit() else -1
+        if isinstance(decoded, Err) or not 0 <= partition < len(self._jobs.tails):
+            detail = decoded.err() or "key is not a valid partition number"
             self._health.unsound("mark_unreadable", key=key, detail=detail)
             return
-        self._jobs.start_from_mark(part, read.unwrap())
+        self._jobs.start_from_mark(partition, decoded.unwrap())
 
     async def _async_write(self) -> None:
-        """Write the marks that have moved, and delete texts that are over, of the partitions that fall to this node."""
-        own = self._own_parts()
-        marks = {part: self._jobs.mark(part) for part in own}
-        news = {part: mark for part, mark in marks.items() if mark != self._written.get(part)}
-        records = [self._log.pack_keyed(str(part), write_mark(mark)) for part, mark in news.items()]
+        """Write changed marks and delete unneeded texts of the partitions assigned to this node."""
+        assigned = self._assigned_partitions()
+        marks = {partition: self._jobs.mark(partition) for partition in assigned}
+        changed = {
+            partition: mark
+            for partition, mark in marks.items()
+            if mark != self._last_written.get(partition)
+        }
+        records = [
+            self._log.pack_keyed(str(partition), write_mark(mark))
+            for partition, mark in changed.items()
+        ]
         if records:
-            written = await self._log.async_append(self._topic, 0, records, MARK_TIMEOUT)
-            self._written.update(news if written.is_ok() else {})
-        if self._clock.monotonic() >= self._trim_at:
-            self._trim_at = self._clock.monotonic() + TRIM_INTERVAL
-            for part in own:
-                await self._jobs.texts.async_trim(part)
-
-    def _own_parts(self) -> list[int]:
-        """Return the partitions that fall to this node and have been read to their end."""
-        live = self._live()
+            appended = await self._log.async_append(self._topic, 0, records, MARK_TIMEOUT)
+            self._last_written.update(changed if appended.is_ok() else {})
+        if self._clock.monotonic() >= self._next_trim_at:
+            self._next_trim_at = self._clock.monotonic() + TRIM_INTERVAL
+            for partition in assigned:
+                await self._jobs.texts.async_trim(partition)
+
+    def _assigned_partitions(self) -> list[int]:
+        """Return the partitions assigned to this node that it has read to their end."""
+        live_nodes = self._live_nodes()
         return [
-            part
-            for part, tail in enumerate(self._jobs.tails)
-            if tail.at_end and rendezvous.top(f"mark {part}", live) == self._node
+            partition
+            for partition, tail in enumerate(self._jobs.tails)
+            if tail.at_end and rendezvous.top(f"mark {partition}", live_nodes) == self._node
         ]
--- a/cranberryline/jobs/marks.py
+++ b/cranberryline/jobs/marks.py
@@ -1,4 +1,4 @@
-"""Where a node that starts begins to read a partition of jobs."""
+"""Marks: the offsets from which a starting node reads the partitions of jobs."""
 
 import msgspec
 from result import Err, Result
@@ -9,28 +9,30 @@
 
 
 class PartitionMark(msgspec.Struct, array_like=True, frozen=True):
-    """The offset from which on all records stand of the jobs that somebody works on or reads.
+    """A safe start offset for reading a partition (its low-water mark).
 
-    `closed` are all other jobs that were known when the mark was made. A copy of one of them that took effect late may
-    stand behind the offset, while its end stands before it: read alone it would be a new job. What a mark says holds for
-    good, since a job that is closed never opens again.
+    All records of jobs that have work or are read by their caller are stored at `offset` or later.
+    `closed` holds the IDs of all other jobs known when the mark was made. A delayed copy of a
+    closed job may be stored after the offset while the record of its end is before it; without
+    `closed` it would look like a new job. A mark stays valid forever, because a closed job is never
+    reopened.
     """
 
     offset: int
     closed: tuple[str, ...] = ()
 
 
-_MARKS = msgspec.msgpack.Decoder(PartitionMark)
+_MARK_DECODER = msgspec.msgpack.Decoder(PartitionMark)
 
 
 def write_mark(mark: PartitionMark) -> bytes:
-    """Return a mark as bytes."""
+    """Return the encoded mark."""
     return msgspec.msgpack.encode(mark)
 
 
 def read_mark(data: bytes) -> Result[PartitionMark, str]:
-    """Read a mark; the error says why it is none."""
-    read = decode_msgpack(data, _MARKS)
-    if read.is_ok() and read.unwrap().offset < 0:
-        return Err("a mark before the first record")
-    return read
+    """Decode a mark; the error says why it is invalid."""
+    decoded = decode_msgpack(data, _MARK_DECODER)
+    if decoded.is_ok() and decoded.unwrap().offset < 0:
+        return Err("offset of the mark is negative")
+    return decoded
--- a/cranberryline/jobs/model.py
+++ b/cranberryline/jobs/model.py
@@ -1,10 +1,11 @@
-"""Data of batch jobs, as callers submit them and as the store keeps them."""
+"""Data model of batch jobs, as callers submit them and as the store keeps them."""
 
 import enum
 
 import msgspec
 
-# `gc=False`: a job has hundreds of these, which hold bytes and texts only and cannot be part of a cycle.
+# `gc=False`: a job has hundreds of these. They hold only bytes and strings, so they cannot be part
+# of a reference cycle.
 
 __all__ = [
     "Item",
@@ -25,7 +26,7 @@
 
 
 class Scorer(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """The request that scores an item's text, sent when the text is complete."""
+    """The request that scores an item's text, sent once the text is complete."""
 
     id: str
     host: str
@@ -34,10 +35,11 @@
 
 
 class Item(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One request of a job; items of one `group` share their prompt.
+    """One request of a job; items of the same `group` share a prompt.
 
-    `prefix` names the longest part of the prompt that others share, of `prefix_tokens` tokens.
-    `told_tokens` is the length of text that the caller expects, in tokens; 0 if it told none.
+    `prefix` identifies the longest part of the prompt that is shared with other items, and
+    `prefix_tokens` is its length in tokens. `told_tokens` is the text length in tokens that the
+    caller expects, or 0 if the caller gave none.
     """
 
     id: str
@@ -53,7 +55,11 @@
 
 
 class Job(msgspec.Struct, array_like=True, frozen=True):
-    """A batch job: `submitted` is wall-clock time in seconds, for giving up items only."""
+    """A batch job.
+
+    `submitted` is the wall-clock time of the submission, in seconds since the epoch. It is used
+    only to give up items that have waited too long.
+    """
 
     id: str
     host: str
@@ -67,16 +73,17 @@
 
 
 class ItemHead(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What every node needs to know of an item; the rest is read where it runs."""
+    """The fields of an item that every node needs; the rest is decoded only where the item runs."""
 
     id: str
     group: str
 
 
 class JobHead(msgspec.Struct, array_like=True, frozen=True):
-    """What every node needs to know of a job, field by field as in `Job`.
+    """The fields of a job that every node needs, named as in `Job`.
 
-    `details_crc` is the checksum of the packed items, which only a node that runs one unpacks.
+    `details_crc` is the CRC-32 checksum of the compressed items, which are decoded only on a node
+    that runs one of them.
     """
 
     id: str
@@ -92,14 +99,14 @@
 
 
 class ItemState(enum.StrEnum):
-    """How an item ended."""
+    """The final state of an item."""
 
     COMPLETED = "completed"
-    DEAD = "dead"
+    DEAD = "dead"  # failed permanently
 
 
 class ItemResult(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What is listed of an item; `versions` are those that made an event of `text`."""
+    """The result of an item; `versions` are the model versions that generated events of `text`."""
 
     state: ItemState
     text: str = ""
@@ -108,7 +115,7 @@
 
 
 class JobPart(msgspec.Struct, array_like=True, frozen=True, gc=False, tag="part"):
-    """One of `total` parts of a job as one `writer` appended it."""
+    """One of the `total` parts of an encoded job, as appended by one `writer`."""
 
     job: str
     writer: str
@@ -118,7 +125,7 @@
 
 
 class ResultRecord(msgspec.Struct, array_like=True, frozen=True, gc=False, tag="result"):
-    """The end of one item; the first one in the partition stands."""
+    """The final result of an item; the first one in the partition wins."""
 
     job: str
     index: int
@@ -126,9 +133,10 @@
 
 
 class PackedResult(msgspec.Struct, array_like=True, frozen=True, gc=False, tag="packed"):
-    """The end of one item as it is stored: `data` is the packed result, read when it is listed.
+    """The stored form of a `ResultRecord`; `data` is decoded only when the result is listed.
 
-    `crc` is the checksum of `data`: changed bytes are told when the record is read, by every node.
+    `crc` is the CRC-32 checksum of `data`, so that every node detects changed bytes when it reads
+    the record.
     """
 
     job: str
@@ -139,10 +147,11 @@
 
 
 class TextPiece(msgspec.Struct, array_like=True, frozen=True, gc=False, tag="text"):
-    """Events of an item's text that is not whole yet: the piece with this `number` of one `writer`.
+    """Consecutive events of a text that is not complete yet, appended by one `writer`.
 
-    `data` are `count` packed events, the last of which has the id `last_id`; `versions` made them, in the
-    order of their first event. `crc` is the checksum of `data`.
+    `number` counts the pieces of the writer from 0. `data` holds `count` encoded events, the last
+    of which has the ID `last_id`. `versions` are the model versions that generated them, in the
+    order of their first event. `crc` is the CRC-32 checksum of `data`.
     """
 
     job: str
@@ -157,14 +166,14 @@
 
 
 class TextsBegin(msgspec.Struct, array_like=True, frozen=True, gc=False, tag="texts"):
-    """The first piece of a job's texts stands at `offset` of the topic of texts, in the job's partition."""
+    """The offset of a job's first text piece in the texts topic, in the job's partition."""
 
     job: str
     offset: int
 
 
 class JobEnded(msgspec.Struct, array_like=True, frozen=True, gc=False, tag="end"):
-    """The caller wants no more of the job."""
+    """The caller no longer needs the job; none of its remaining items are run."""
 
     job: str
 
--- a/cranberryline/jobs/partition.py
+++ b/cranberryline/jobs/partition.py
@@ -1,4 +1,4 @@
-"""Which partition of the store a job's records stand in."""
+"""Assignment of jobs to partitions of the store."""
 
 from functools import lru_cache
 from hashlib import blake2b
@@ -8,9 +8,9 @@
 _DIGEST_BYTES = 8
 
 
-# Asked for each request of each item; the jobs of the last minutes are some hundreds.
+# Called for each request of each item; the jobs of the last minutes number a few hundred.
 @lru_cache(maxsize=1024)
-def partition_of(job_id: str, parts: int) -> int:
-    """Return the one partition that every node uses for a job."""
+def partition_of(job_id: str, partition_count: int) -> int:
+    """Return the partition that holds the records of a job, the same on every node."""
     digest = blake2b(job_id.encode(), digest_size=_DIGEST_BYTES).digest()
-    return int.from_bytes(digest) % parts
+    return int.from_bytes(digest) % partition_count
--- a/cranberryline/jobs/pieces.py
+++ b/cranberryline/jobs/pieces.py
@@ -1,4 +1,4 @@
-"""Cut the pieces of a running text that are to be kept."""
+"""Splitting of a running text into the pieces that are stored."""
 
 import uuid
 
@@ -12,14 +12,14 @@
 
 _LOGGER = get_logger(__name__)
 
-# A third of a second of an engine's pace: what ends sooner than that is not worth a record.
-LEAST_EVENTS = 10
-# A record of the store takes twice as much.
+# About a third of a second at an engine's speed; a text that ends sooner is not worth a record.
+MIN_PIECE_EVENTS = 10
+# Half of the maximum record size of the store.
 MAX_PIECE_BYTES = 100 * 1024
 
 
 class PieceCutter:
-    """Number the pieces of one item's runs at this node, one under way at a time."""
+    """Create the numbered pieces of one item's runs on this node, one pending at a time."""
 
     def __init__(self, job: str, index: int) -> None:
         self.wanted = False
@@ -27,28 +27,32 @@
         self._index = index
         self._writer = uuid.uuid4().hex[:12]
         self._number = 0
-        self._under_way: TextPiece | None = None
+        self._pending: TextPiece | None = None
         self._stopped = False
 
     def next(self, text: ItemText) -> TextPiece | None:
-        """Return the piece to append now: the one whose append got no answer, or a new one."""
-        if self._under_way is not None:
-            return self._under_way
+        """Return the piece to append now, None if there is none.
+
+        This is the pending piece if its append was not acknowledged, otherwise a new one.
+        """
+        if self._pending is not None:
+            return self._pending
         if (
             not self.wanted
             or self._stopped
-            or text.uncut_count < LEAST_EVENTS
+            or text.uncut_count < MIN_PIECE_EVENTS
             or text.last_id is None
         ):
             return None
         events, versions = text.cut_piece()
         data, crc = encode_events(events)
         if len(data) > MAX_PIECE_BYTES:
-            # Nothing can follow a piece that is not kept: the text is no longer kept, and still made.
+            # No piece can follow one that is not stored, so the text is generated but no longer
+            # stored.
             self._stopped = True
             _LOGGER.warning("text_too_long_to_keep", request_id=self._job, size=len(data))
             return None
-        self._under_way = TextPiece(
+        self._pending = TextPiece(
             self._job,
             self._index,
             self._writer,
@@ -59,10 +63,10 @@
             data,
             crc,
         )
-        return self._under_way
+        return self._pending
 
     def stands(self, piece: TextPiece) -> None:
-        """Note that a piece is kept; the next one follows it."""
-        if piece is self._under_way:
-            self._under_way = None
+        """Record that the pending piece is stored; the next piece follows it."""
+        if piece is self._pending:
+            self._pending = None
             self._number += 1
--- a/cranberryline/jobs/state.py
+++ b/cranberryline/jobs/state.py
@@ -1,4 +1,4 @@
-"""A job as a node knows it: packed until an item runs here or a result is read here."""
+"""The state of one job on a node; items and results stay compressed until they are needed."""
 
 from datetime import timedelta
 from functools import cached_property
@@ -18,7 +18,7 @@
 
 
 class Listed:
-    """A result at its position, unpacked when it is read for the first time."""
+    """A listed result, decoded when it is first read."""
 
     __slots__ = ("_result",)
 
@@ -27,22 +27,26 @@
 
     @property
     def result(self) -> ItemResult:
-        """Return the result; one that cannot be read is the same at all nodes, and dead."""
+        """Return the decoded result.
+
+        A result that cannot be decoded is reported as dead, as on every other node.
+        """
         if isinstance(self._result, bytes):
-            found = decode_result(self._result)
-            if found is None:
+            decoded = decode_result(self._result)
+            if decoded is None:
                 _LOGGER.error("result_unreadable", size=len(self._result))
-                found = ItemResult(ItemState.DEAD)
-            self._result = found
+                decoded = ItemResult(ItemState.DEAD)
+            self._result = decoded
         return self._result
 
 
 @attrs.define(eq=False)
 class JobState:
-    """A job, and what is listed of it: the order of `listed` is the order of the records.
+    """A job and its listed results; `listed` has the order of the result records in the log.
 
-    `details` are the job's items, packed until the first one is asked for here. `first_offset` is where its first
-    record stands in its partition.
+    `details` are the items of the job, compressed until the first item is requested on this node.
+    `first_offset` is the offset of the job's first record in its partition. `moved_at` holds the
+    time of the last progress of each group.
     """
 
     head: JobHead
@@ -54,31 +58,31 @@
     ended: bool = False
     moved_at: dict[str, timedelta] = attrs.field(factory=dict)
     texts: KeptTexts = attrs.field(factory=KeptTexts)
-    # Where the job's pieces begin in the topic of texts, and up to where they have been read here.
+    # Offset of the job's first text piece in the texts topic, and the offset read so far.
     texts_begin: int | None = None
     texts_at: int = 0
-    # Whether results of it may have been deleted before they were read here.
+    # Whether results of the job may have been deleted before this node read them.
     lacking: bool = False
     _job: Job | None = None
 
     @classmethod
     def of(cls, job: Job, seen_at: timedelta) -> "JobState":
-        """Return the state of a job that is at hand unpacked."""
+        """Return the state of a job that is already decoded."""
         return cls(head_of(job), job.items, seen_at)
 
     @cached_property
     def groups(self) -> JobGroups:
-        """Return the job's groups, worked out where they are asked for: not every node tells of a job."""
+        """Return the job's groups, built on first use because not every node reports on a job."""
         return JobGroups(self.head)
 
     @property
     def open(self) -> bool:
-        """Tell whether an item has still to be run."""
+        """Return whether any item still has to be run."""
         return not self.ended and len(self.done) < len(self.head.items)
 
     @property
     def readable(self) -> bool:
-        """Unpack the job's items if need be, and tell whether that went well."""
+        """Decode the items of the job if necessary, and return whether they are valid."""
         if isinstance(self.details, bytes):
             items = decode_items(self.details).unwrap_or(())
             if len(items) != len(self.head.items):
@@ -88,10 +92,10 @@
 
     @property
     def job(self) -> Job:
-        """Return the whole job; raise ValueError if its items cannot be read."""
+        """Return the complete job; raise ValueError if its items cannot be decoded."""
         if self._job is None:
             if not self.readable or isinstance(self.details, bytes):
-                raise ValueError(f"the items of job {self.head.id} cannot be read")
+                raise ValueError(f"items of job {self.head.id} cannot be decoded")
             head = self.head
             self._job = Job(
                 head.id,
@@ -107,17 +111,17 @@
         return self._job
 
     def note_texts(self, offset: int) -> None:
-        """Note that a piece of the job's texts stands at an offset of the topic of texts."""
+        """Record that a text piece of the job is stored at an offset of the texts topic."""
         if self.texts_begin is None or offset < self.texts_begin:
             self.texts_begin = self.texts_at = offset
 
     @property
     def results(self) -> list[tuple[int, ItemResult]]:
-        """Return what is listed, unpacked."""
+        """Return the decoded results in listing order."""
         return [(index, listed.result) for index, listed in self.listed]
 
     def item(self, item_id: str) -> tuple[int, Item] | None:
-        """Return an item and its number by its id."""
+        """Return an item and its index by its ID, None if it is unknown or cannot be decoded."""
         for index, head in enumerate(self.head.items):
             if head.id == item_id:
                 return (index, self.job.items[index]) if self.readable else None
--- a/cranberryline/jobs/text_log.py
+++ b/cranberryline/jobs/text_log.py
@@ -1,4 +1,4 @@
-"""Keep texts that are not whole in a topic that only those read who take one up."""
+"""Storage of incomplete texts in a topic that is read only by runs that resume one."""
 
 import asyncio
 from collections.abc import Iterable
@@ -31,106 +31,118 @@
 
 
 class TextLog:
-    """Append pieces of texts, tell where those of a job begin, and read them for a run that goes on.
+    """Append text pieces, announce where those of a job start, and read them to resume a run.
 
-    In the topic of the jobs every node reads every piece, whose bytes grow with the texts times the nodes. Here nobody
-    follows them: all that the others hear of a job's texts is the offset of their first piece, once a job.
+    In the topic of the jobs every node would read every piece, a volume that grows with texts times
+    nodes. No node follows the topic of texts; the other nodes only read the offset of the first
+    piece, once per job.
     """
 
-    def __init__(self, log: SharedLog, parts: int, clock: Clock, book: JobBook) -> None:
+    def __init__(self, log: SharedLog, partition_count: int, clock: Clock, book: JobBook) -> None:
         self._log = log
-        self._parts = parts
+        self._partition_count = partition_count
         self._clock = clock
         self._book = book
-        self._untold: dict[str, int] = {}
-        self._reading: dict[str, asyncio.Task[None]] = {}
+        self._unannounced: dict[str, int] = {}
+        self._read_tasks: dict[str, asyncio.Task[None]] = {}
 
     async def async_keep(self, pieces: list[TextPiece]) -> bool:
-        """Append pieces of one partition; False when it is not sure that they stand."""
-        part = partition_of(pieces[0].job, self._parts)
+        """Append pieces of one partition; return False if the append was not acknowledged."""
+        partition = partition_of(pieces[0].job, self._partition_count)
         records = encode_records(pieces)
-        kept = await self._log.async_append(TOPIC_TEXTS, part, records, APPEND_TIMEOUT)
-        if isinstance(kept, Err):
+        appended = await self._log.async_append(TOPIC_TEXTS, partition, records, APPEND_TIMEOUT)
+        if isinstance(appended, Err):
             return False
         for piece in pieces:
             self._book.keep_piece(piece)
-            self._untold.setdefault(piece.job, kept.unwrap().offset)
-        await self._async_tell(part, {piece.job for piece in pieces})
+            self._unannounced.setdefault(piece.job, appended.unwrap().offset)
+        await self._async_announce(partition, {piece.job for piece in pieces})
         return True
 
     async def async_read(self, state: JobState) -> None:
-        """Read what others have kept of a job's texts until now; after `TEXTS_PATIENCE` no further page is asked for."""
+        """Read the pieces that other nodes have stored for a job.
+
+        No further page is requested after `TEXTS_PATIENCE`.
+        """
         if state.texts_begin is None:
             return
         job_id = state.head.id
-        if job_id not in self._reading:
+        if job_id not in self._read_tasks:
             task = asyncio.ensure_future(self._async_read(state))
-            self._reading[job_id] = task
-            task.add_done_callback(lambda _: self._reading.pop(job_id, None))
-        await asyncio.wait((self._reading[job_id],))
+            self._read_tasks[job_id] = task
+            task.add_done_callback(lambda _: self._read_tasks.pop(job_id, None))
+        await asyncio.wait((self._read_tasks[job_id],))
 
-    async def async_trim(self, part: int) -> None:
-        """Delete the pieces of a partition that stand before those of all jobs that are not over.
+    async def async_trim(self, partition: int) -> None:
+        """Delete the pieces of a partition that precede those of all needed jobs.
 
-        A job whose first piece is not told yet may lose it: then its texts begin anew where they would go on.
+        A job whose first piece is not announced yet may lose it; a run that would resume its text
+        then starts over.
         """
-        begin = self._book.texts_begin(lambda job_id: partition_of(job_id, self._parts) == part)
-        if begin:
-            await self._log.async_trim(TOPIC_TEXTS, part, begin, MARK_TIMEOUT)
+        start_offset = self._book.texts_begin(
+            lambda job_id: partition_of(job_id, self._partition_count) == partition
+        )
+        if start_offset:
+            await self._log.async_trim(TOPIC_TEXTS, partition, start_offset, MARK_TIMEOUT)
 
     async def async_close(self) -> None:
-        """End every reading."""
-        tasks = list(self._reading.values())
+        """Cancel all reads."""
+        tasks = list(self._read_tasks.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _async_tell(self, part: int, job_ids: Iterable[str]) -> None:
-        """Record where texts begin, for jobs of which no earlier piece is known.
+    async def _async_announce(self, partition: int, job_ids: Iterable[str]) -> None:
+        """Record where texts start, for jobs without a known earlier piece.
 
-        An offset whose record may not stand is told again with the next piece, which alone would seem to be the
-        first one.
+        An announcement that was not acknowledged is repeated with the next piece. Otherwise that
+        later piece would look like the first one.
         """
-        news = [job_id for job_id in job_ids if self._is_news(job_id)]
-        if not news:
+        new_job_ids = [job_id for job_id in job_ids if self._needs_announcement(job_id)]
+        if not new_job_ids:
             return
-        records = encode_records([TextsBegin(job_id, self._untold[job_id]) for job_id in news])
-        told = await self._log.async_append(TOPIC_JOBS, part, records, APPEND_TIMEOUT)
-        if isinstance(told, Ok):
-            for job_id in news:
-                self._untold.pop(job_id, None)
-
-    def _is_news(self, job_id: str) -> bool:
-        """Tell whether this node knows of an earlier piece than all others; forget what nobody needs to hear."""
+        records = encode_records(
+            [TextsBegin(job_id, self._unannounced[job_id]) for job_id in new_job_ids]
+        )
+        appended = await self._log.async_append(TOPIC_JOBS, partition, records, APPEND_TIMEOUT)
+        if isinstance(appended, Ok):
+            for job_id in new_job_ids:
+                self._unannounced.pop(job_id, None)
+
+    def _needs_announcement(self, job_id: str) -> bool:
+        """Return whether this node has an earlier piece than the announced one.
+
+        Offsets that no longer need an announcement are discarded.
+        """
         state = self._book.jobs.get(job_id)
-        begin = self._untold[job_id]
+        start_offset = self._unannounced[job_id]
         if (
             state is not None
             and not state.ended
-            and (state.texts_begin is None or begin < state.texts_begin)
+            and (state.texts_begin is None or start_offset < state.texts_begin)
         ):
             return True
-        del self._untold[job_id]
+        del self._unannounced[job_id]
         return False
 
     async def _async_read(self, state: JobState) -> None:
-        began = self._clock.monotonic()
-        first = state.texts_at
-        while self._clock.monotonic() - began < TEXTS_PATIENCE and not state.ended:
+        started_at = self._clock.monotonic()
+        first_offset = state.texts_at
+        while self._clock.monotonic() - started_at < TEXTS_PATIENCE and not state.ended:
             if await self._async_page(state):
                 break
-        took = in_milliseconds(self._clock.monotonic() - began)
-        records = state.texts_at - first
-        _LOGGER.info("texts_read", request_id=state.head.id, records=records, ms=took)
+        duration_ms = in_milliseconds(self._clock.monotonic() - started_at)
+        records = state.texts_at - first_offset
+        _LOGGER.info("texts_read", request_id=state.head.id, records=records, ms=duration_ms)
 
     async def _async_page(self, state: JobState) -> bool:
-        """Read one page; True at the end."""
-        part = partition_of(state.head.id, self._parts)
+        """Read one page; return True at the end of the partition."""
+        partition = partition_of(state.head.id, self._partition_count)
         read = await self._log.async_read(
-            TOPIC_TEXTS, part, state.texts_at, timedelta(), READ_TIMEOUT
+            TOPIC_TEXTS, partition, state.texts_at, timedelta(), READ_TIMEOUT
         )
         if isinstance(read, Ok):
-            return self._take(state, read.unwrap())
+            return self._apply_page(state, read.unwrap())
         error = read.unwrap_err()
         if error.problem is StoreProblem.GONE and error.position > state.texts_at:
             state.texts_at = error.position
@@ -138,7 +150,7 @@
         await self._clock.async_sleep(ACCEPT_PAUSE)
         return False
 
-    def _take(self, state: JobState, read: LogRead) -> bool:
+    def _apply_page(self, state: JobState, read: LogRead) -> bool:
         for data in read.records[max(state.texts_at - read.start, 0) :]:
             state.texts_at += 1
             piece = decode_record(data)
--- a/tests/jobs/gateway_fake.py
+++ b/tests/jobs/gateway_fake.py
@@ -170,7 +170,7 @@
     ) -> None:
         super().__init__(store, peers)
         clock, metrics = LoopClock(), Metrics()
-        self.jobs.book._keep = keep
+        self.jobs.book._retention = keep
         versions = SimpleNamespace(
             version=lambda _up, _model: engine.version, learn=lambda *_: None
         )
--- a/tests/jobs/test_ends_heard.py
+++ b/tests/jobs/test_ends_heard.py
@@ -1,4 +1,4 @@
-"""An end reaches a gateway's work by every way there is: through peers, its own call, a later read."""
+"""A gateway learns of the end of a job by each path: peers, its own call, or a later read."""
 
 import asyncio
 
@@ -15,10 +15,11 @@
 )
 
 
-def test_peers_that_are_turned_away_too_do_not_stand_for_all() -> None:
-    """Half of the VMs are turned away, this one among them; another one records the end.
+def test_refused_peers_are_not_taken_for_a_full_outage() -> None:
+    """The store refuses half of the VMs, including this one; another VM records the end.
 
-    Two peers are asked each time, so now and then none of them is served: with the next question one is.
+    Two peers are queried each time, so sometimes the store serves neither of them; a later query
+    reaches a peer that it does serve.
     """
 
     async def scene() -> None:
@@ -36,8 +37,8 @@
     run_virtual(scene())
 
 
-def test_a_late_copy_does_not_open_a_job_again() -> None:
-    """A copy that took effect after the end changes nothing while the first one is kept."""
+def test_a_delayed_copy_does_not_reopen_a_job() -> None:
+    """A copy that took effect after the end changes nothing while the first copy is stored."""
 
     async def scene() -> None:
         ended, engine = StoreWithJob(make_store()), SingleEngineDispatcher()
@@ -51,8 +52,11 @@
     run_virtual(scene())
 
 
-def test_an_end_recorded_here_without_an_answer_stops_work_here() -> None:
-    """The end's append gets no answer, so the trainer is told 504; it stands, and is read."""
+def test_an_end_without_acknowledgement_stops_work_here() -> None:
+    """The append of the end is not acknowledged, so the trainer gets status 504.
+
+    The record was stored nevertheless, and is read.
+    """
 
     async def scene() -> None:
         ended, engine = StoreWithJob(make_store()), SingleEngineDispatcher()
@@ -67,8 +71,8 @@
     run_virtual(scene())
 
 
-def test_an_end_recorded_here_stops_work_here_though_it_cannot_be_read() -> None:
-    """The end is acknowledged, and this gateway hears nothing of the store from then on."""
+def test_an_acknowledged_end_stops_work_although_it_is_not_read() -> None:
+    """The end is acknowledged, and this gateway cannot reach the store from then on."""
 
     async def scene() -> None:
         ended, engine = StoreWithJob(make_store()), SingleEngineDispatcher()
--- a/tests/jobs/test_fold_machine.py
+++ b/tests/jobs/test_fold_machine.py
@@ -1,10 +1,7 @@
-"""All orders of job records, and readers that begin anywhere: those that read the same list alike.
+"""All orders of job records and all start offsets of readers: the same records give the same lists.
 
-A machine plays two or three writers of the same jobs: parts interleaved, copies late and doubled, results
-that race, ends. Readers follow at their own pace, from the start, from where the log was trimmed or from the mark of
-another reader, and some read what lies before their mark later. What
-they list is compared with `expected`, which is worked out from the records without the product's fold.
-The deep run: `pytest tests/jobs/test_fold_machine.py --hypothesis-profile deep`.
+Several writers append the same jobs with interleaved, delayed and duplicated records; readers start
+at any offset. Their lists are compared with `expected`, which does not use the code under test.
 """
 
 from collections.abc import Callable, Iterable
@@ -40,7 +37,7 @@
 from cranberryline.jobs.model import JobRecord
 from tests.jobs.test_book import make_job
 
-KEEP = timedelta(seconds=180)
+RETENTION = timedelta(seconds=180)
 JOBS = ("job-1", "job-2")
 WRITERS = ("a", "b", "c")
 ITEMS = 4
@@ -50,18 +47,23 @@
 
 
 def parts_of(job_id: str, writer: str, count: int) -> list[JobPart]:
-    """Return a writer's copy of a job in `count` parts; copies differ, so that it shows which one stands."""
+    """Return a writer's copy of a job in `count` parts.
+
+    The copies differ, so that a test can tell which one was accepted.
+    """
     data = b"".join(
         part.data for part in encode_job(make_job(job_id, ITEMS, writer.encode()), writer)
     )
     size = -(-len(data) // count)
-    pieces = [data[at : at + size] for at in range(0, len(data), size)]
-    return [JobPart(job_id, writer, n, len(pieces), piece) for n, piece in enumerate(pieces)]
+    pieces = [data[offset : offset + size] for offset in range(0, len(data), size)]
+    return [
+        JobPart(job_id, writer, index, len(pieces), piece) for index, piece in enumerate(pieces)
+    ]
 
 
 @attrs.define
 class Expected:
-    """What is to be listed of a job."""
+    """The expected list of a job."""
 
     writer: str
     ended: bool = False
@@ -69,36 +71,40 @@
 
 
 def expected(records: list[JobRecord], job_id: str) -> Expected | None:
-    """Work out from all records of a log what stands: the first whole copy, then first results."""
-    own = [record for record in records if record.job == job_id]
-    had: dict[str, set[int]] = {}
+    """Compute the expected list of a job from all records of a log.
+
+    The first complete copy of the job and the first result of each item win.
+    """
+    job_records = [record for record in records if record.job == job_id]
+    seen_parts: dict[str, set[int]] = {}
     ended = False
-    found: Expected | None = None
-    for record in own:
+    result_list: Expected | None = None
+    for record in job_records:
         if isinstance(record, JobEnded):
             ended = True
-        elif isinstance(record, JobPart) and found is None:
-            had.setdefault(record.writer, set()).add(record.index)
-            if len(had[record.writer]) == record.total:
-                found = Expected(record.writer)
-        elif isinstance(record, ResultRecord) and found is not None:
-            listed = {index for index, _ in found.results}
+        elif isinstance(record, JobPart) and result_list is None:
+            seen_parts.setdefault(record.writer, set()).add(record.index)
+            if len(seen_parts[record.writer]) == record.total:
+                result_list = Expected(record.writer)
+        elif isinstance(record, ResultRecord) and result_list is not None:
+            listed = {index for index, _ in result_list.results}
             if record.index in range(ITEMS) and record.index not in listed:
-                found.results.append((record.index, record.result.text))
-    if found is not None:
-        found.ended = ended
-    return found
+                result_list.results.append((record.index, record.result.text))
+    if result_list is not None:
+        result_list.ended = ended
+    return result_list
 
 
 @attrs.define
 class Reader:
-    """A node that reads the log from `start` on; `seen` is what it listed when last looked at.
+    """A node that reads the log from `start`; `seen` is what it listed at the last check.
 
-    One that began at a mark knows all that was open at `marked_at`, where its mark was made.
+    A reader that started at a mark knows all jobs that were open at `marked_at`, the offset at
+    which the mark was made.
     """
 
     start: int
-    at: int
+    offset: int
     book: JobBook
     clock: FakeClock
     marked_at: int | None = None
@@ -112,7 +118,10 @@
 
 
 class FoldMachine(RuleBasedStateMachine):
-    """Writers and readers of one partition."""
+    """Writers and readers of one partition.
+
+    The deep run: `pytest tests/jobs/test_fold_machine.py --hypothesis-profile deep`.
+    """
 
     book_class: type[JobBook] = JobBook
 
@@ -121,37 +130,37 @@
         self.log: list[bytes] = []
         self.records: list[JobRecord] = []
         self.first = 0
-        self.to_write: dict[tuple[str, str], list[JobPart]] = {}
-        self.late: list[JobRecord] = []
+        self.unwritten_parts: dict[tuple[str, str], list[JobPart]] = {}
+        self.delayed: list[JobRecord] = []
         self.readers: list[Reader] = []
 
     @initialize(counts=st.lists(st.integers(1, 4), min_size=6, max_size=6))
-    def begin(self, counts: list[int]) -> None:
+    def create_copies(self, counts: list[int]) -> None:
         copies = [(job_id, writer) for job_id in JOBS for writer in WRITERS]
-        self.to_write = {
+        self.unwritten_parts = {
             copy: parts_of(*copy, count) for copy, count in zip(copies, counts, strict=True)
         }
         self.readers = [self._reader(0), self._reader(0)]
 
     @rule(job_id=jobs, writer=writers, count=st.integers(1, 4))
     def next_parts(self, job_id: str, writer: str, count: int) -> None:
-        parts = self.to_write[(job_id, writer)]
+        parts = self.unwritten_parts[(job_id, writer)]
         for part in parts[:count]:
             self._append(part)
         del parts[:count]
 
     @rule(job_id=jobs, writer=writers)
-    def next_part_comes_late(self, job_id: str, writer: str) -> None:
-        parts = self.to_write[(job_id, writer)]
+    def next_part_is_delayed(self, job_id: str, writer: str) -> None:
+        parts = self.unwritten_parts[(job_id, writer)]
         if parts:
-            self.late.append(parts.pop(0))
+            self.delayed.append(parts.pop(0))
 
     @rule(job_id=jobs, index=st.integers(-1, ITEMS), late=st.booleans())
     def result(self, job_id: str, index: int, late: bool) -> None:
-        text = f"{len(self.records)}.{len(self.late)}"
+        text = f"{len(self.records)}.{len(self.delayed)}"
         record = ResultRecord(job_id, index, ItemResult(ItemState.COMPLETED, text))
         if late:
-            self.late.append(record)
+            self.delayed.append(record)
         else:
             self._append(record)
 
@@ -160,12 +169,12 @@
         self._append(JobEnded(job_id))
 
     @rule(pick=st.integers(0, 50))
-    def late_one_is_done(self, pick: int) -> None:
-        if self.late:
-            self._append(self.late.pop(pick % len(self.late)))
+    def insert_delayed_record(self, pick: int) -> None:
+        if self.delayed:
+            self._append(self.delayed.pop(pick % len(self.delayed)))
 
     @rule(pick=st.integers(0, 200))
-    def doubled(self, pick: int) -> None:
+    def duplicate_record(self, pick: int) -> None:
         if self.records:
             self._append(self.records[pick % len(self.records)])
 
@@ -175,31 +184,31 @@
             self.first += pick % (len(self.log) - self.first + 1)
 
     @rule()
-    def reader_begins(self) -> None:
+    def reader_starts(self) -> None:
         if len(self.readers) < 6:
             self.readers.append(self._reader(self.first))
 
-    @rule(pick=st.integers(0, 5), later=st.booleans())
-    def reader_begins_at_a_mark(self, pick: int, later: bool) -> None:
+    @rule(pick=st.integers(0, 5), after_read_period=st.booleans())
+    def reader_starts_at_a_mark(self, pick: int, after_read_period: bool) -> None:
         source = self.readers[pick % len(self.readers)]
         if len(self.readers) >= 6 or (source.start and source.marked_at is None):
             return
-        if later:
+        if after_read_period:
             source.clock.advance(READ_FOR)
-        mark = source.book.mark(source.at, lambda _: True)
+        mark = source.book.mark(source.offset, lambda _: True)
         if mark.offset >= self.first:
             reader = self._reader(mark.offset)
             reader.book.close(mark.closed)
-            reader.marked_at = source.at
+            reader.marked_at = source.offset
             self.readers.append(reader)
 
     @rule(pick=st.integers(0, 5))
-    def reads_what_lies_before_its_mark(self, pick: int) -> None:
+    def reads_records_before_its_mark(self, pick: int) -> None:
         reader = self.readers[pick % len(self.readers)]
         if reader.marked_at is None or self.first:
             return
         older = self._reader(0)
-        for offset, data in enumerate(self.log[: reader.at]):
+        for offset, data in enumerate(self.log[: reader.offset]):
             record = decode_record(data)
             assert record is not None
             older.book.apply(record, offset)
@@ -209,24 +218,24 @@
     @rule(pick=st.integers(0, 5), count=st.integers(1, 40))
     def reads(self, pick: int, count: int) -> None:
         reader = self.readers[pick % len(self.readers)]
-        for data in self.log[reader.at : reader.at + count]:
+        for data in self.log[reader.offset : reader.offset + count]:
             record = decode_record(data)
             assert record is not None
-            reader.book.apply(record, reader.at)
-            reader.at += 1
+            reader.book.apply(record, reader.offset)
+            reader.offset += 1
 
     @invariant()
-    def all_list_alike(self) -> None:
-        """Compare what is listed with what was read, wherever the reader began."""
+    def all_lists_match(self) -> None:
+        """Compare what is listed with what was read, for every start offset."""
         for reader in self.readers:
             for job_id in JOBS:
                 self._check(reader, job_id)
 
     def teardown(self) -> None:
-        """In the end every reader has read all, and lists what follows from it."""
+        """Let every reader read all records, then compare the lists."""
         for number in range(len(self.readers)):
             self.reads(number, len(self.log))
-        self.all_list_alike()
+        self.all_lists_match()
 
     def _check(self, reader: Reader, job_id: str) -> None:
         state = reader.book.jobs.get(job_id)
@@ -241,17 +250,20 @@
             assert state is not None and not (now.ended and state.open)
         if reader.marked_at is not None and now is None:
             self._check_closed(reader, job_id)
-        elif reader.marked_at is not None or self._all_kept(reader, job_id):
-            assert now == expected(self.records[: reader.at], job_id)
+        elif reader.marked_at is not None or self._started_before_job(reader, job_id):
+            assert now == expected(self.records[: reader.offset], job_id)
 
     def _check_closed(self, reader: Reader, job_id: str) -> None:
-        """Compare what a reader that began at a mark lacks with what was over when it caught up with it."""
-        if reader.marked_at is not None and reader.at >= reader.marked_at:
-            found = expected(self.records[: reader.at], job_id)
+        """Check that a job missing after a start at a mark was already over.
+
+        It must have been over when the reader had read all records that the mark covers.
+        """
+        if reader.marked_at is not None and reader.offset >= reader.marked_at:
+            found = expected(self.records[: reader.offset], job_id)
             assert found is None or found.ended or len(found.results) == ITEMS
 
-    def _all_kept(self, reader: Reader, job_id: str) -> bool:
-        """Tell whether a reader began before the job's first record."""
+    def _started_before_job(self, reader: Reader, job_id: str) -> bool:
+        """Return whether a reader started before the first record of the job."""
         return all(record.job != job_id for record in self.records[: reader.start])
 
     def _append(self, record: JobRecord) -> None:
@@ -260,51 +272,57 @@
 
     def _reader(self, start: int) -> Reader:
         clock = FakeClock()
-        return Reader(start, start, self.book_class(clock, KEEP), clock)
+        return Reader(start, start, self.book_class(clock, RETENTION), clock)
 
 
-def test_all_folds_list_alike_in_any_order_of_records() -> None:
-    """Copies interleaved, late and doubled, readers from anywhere: one list for what was read."""
+def test_readers_list_the_same_for_any_order_of_records() -> None:
+    """Copies are interleaved, delayed and duplicated, and readers start at any offset.
+
+    All readers of the same records must list the same.
+    """
     run_state_machine_as_test(FoldMachine, settings=settings())
 
 
-class _LastResultStands(JobBook):
-    def _take_result(self, state: JobState, record: ResultRecord) -> None:
+class _LastResultWins(JobBook):
+    def _apply_result(self, state: JobState, record: ResultRecord) -> None:
         state.done.discard(record.index)
-        super()._take_result(state, record)
+        super()._apply_result(state, record)
 
 
-class _EndForgotten(JobBook):
+class _EndIsLost(JobBook):
     def apply(self, record: JobRecord, offset: int = 0) -> None:
         super().apply(record, offset)
-        self._ended_unseen.clear()
+        self._ended_before_seen.clear()
 
 
-class _WritersMixed(JobBook):
-    def _take_part(self, part: JobPart, offset: int) -> None:
-        super()._take_part(JobPart(part.job, "", part.index, part.total, part.data), offset)
+class _WritersAreMixed(JobBook):
+    def _apply_part(self, part: JobPart, offset: int) -> None:
+        super()._apply_part(JobPart(part.job, "", part.index, part.total, part.data), offset)
 
 
-class _ClosedForgotten(JobBook):
+class _ClosedJobsAreLost(JobBook):
     def close(self, job_ids: Iterable[str]) -> None:
         pass
 
 
-class _MarksTooLate(JobBook):
+class _MarkOffsetIsTooHigh(JobBook):
     def mark(self, end: int, among: Callable[[str], bool]) -> PartitionMark:
         return PartitionMark(end, super().mark(end, among).closed)
 
 
 @pytest.mark.parametrize(
-    "broken", [_LastResultStands, _EndForgotten, _WritersMixed, _ClosedForgotten, _MarksTooLate]
+    "broken",
+    [_LastResultWins, _EndIsLost, _WritersAreMixed, _ClosedJobsAreLost, _MarkOffsetIsTooHigh],
 )
-def test_the_machine_finds_a_broken_fold(broken: type[JobBook]) -> None:
-    """A result that replaces another, an end that is forgotten, copies that are mixed, bad marks: each is found.
+def test_the_state_machine_detects_a_faulty_book(broken: type[JobBook]) -> None:
+    """Faulty books: the last result wins, an end is lost, copies are mixed, or marks are wrong.
 
-    A machine that does not tell would prove nothing of the sound fold.
+    If the state machine missed one of these faults, its success would prove nothing about the real
+    book.
     """
     machine = type("BrokenFoldMachine", (FoldMachine,), {"book_class": broken})
-    # Each is found in some tens; what is drawn hangs on which modules are loaded, so there is room.
+    # Each fault is found within a few tens of examples. The examples drawn depend on which modules
+    # are loaded, so the limit leaves room.
     found = settings(max_examples=1000, phases=[Phase.generate])
     with pytest.raises(AssertionError):
         run_state_machine_as_test(machine, settings=found)
--- a/tests/jobs/test_foreign_records.py
+++ b/tests/jobs/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""Records of jobs that no gateway wrote, or not for this job or partition."""
+"""Job records that are invalid, or stored for another job or in the wrong partition."""
 
 import asyncio
 import tracemalloc
@@ -36,40 +36,40 @@
 from tests.store_fake import FakeStore, StoreLink
 from tests.virtual_time import LoopClock, run_virtual
 
-from .test_book import KEEP, make_job
+from .test_book import RETENTION, make_job
 
 PARTS = 2
 DROPS = "cranberryline_drops_total"
 DONE = ItemResult(ItemState.COMPLETED, "t", (1,), "seal")
-SOUND = encode_records(
+VALID_RECORDS = encode_records(
     [*encode_job(make_job(), "w"), ResultRecord("job-1", 1, DONE), JobEnded("j")]
 )
-numbers = st.sampled_from(HUGE) | st.integers(-3, 6)
+odd_numbers = st.sampled_from(HUGE) | st.integers(-3, 6)
 
 
 def _book() -> JobBook:
-    return JobBook(FakeClock(), KEEP)
+    return JobBook(FakeClock(), RETENTION)
 
 
 class Node:
-    """A node's jobs, and what it counted."""
+    """The jobs of a node and its count of dropped records."""
 
     def __init__(self, store: FakeStore) -> None:
         clock = LoopClock()
         self.metrics = Metrics()
         self.link = StoreLink(store)
         health = StoreHealth(clock, self.metrics)
-        self.jobs = JobService(self.link, PARTS, clock, health, self.metrics, KEEP)
+        self.jobs = JobService(self.link, PARTS, clock, health, self.metrics, RETENTION)
         self.tasks = [asyncio.ensure_future(tail.async_run()) for tail in self.jobs.tails]
 
     def dropped(self, reason: str) -> float:
-        """Return how many records were passed over for a reason."""
+        """Return the number of records that were dropped for a reason."""
         return self.metrics.value(DROPS, reason=reason)
 
 
-@given(foreign(*SOUND))
-def test_no_bytes_raise(data: bytes) -> None:
-    """A record, or none."""
+@given(foreign(*VALID_RECORDS))
+def test_decoding_arbitrary_bytes_does_not_raise(data: bytes) -> None:
+    """Any bytes decode to a record or to none."""
     record = decode_record(data)
     assert record is None or record.job is not None
     assert isinstance(decode_job([data]), Ok | Err)
@@ -77,15 +77,15 @@
 
 @pytest.mark.parametrize("inner", deep(b"\x97\xa4part\xa1j\xa1w\x00\x01\xc4\x00"))
 @pytest.mark.parametrize("packed", [False, True])
-def test_records_that_nest_deeply_are_none(inner: bytes, packed: bool) -> None:
-    """Plain and compressed, as a record and as the job within one."""
+def test_deeply_nested_records_are_rejected(inner: bytes, packed: bool) -> None:
+    """Uncompressed and compressed, as a record and as the job inside a record."""
     assert decode_record(b"z" + zlib.compress(inner) if packed else b"p" + inner) is None
     assert isinstance(decode_job([zlib.compress(inner)]), Err)
 
 
 @pytest.mark.parametrize("bound", [MAX_JOB_BYTES, MAX_RECORD_BYTES])
-def test_a_bomb_is_no_record_and_takes_a_bounded_amount_of_memory(bound: int) -> None:
-    """A record of the store's longest size grows to 260 MB, more than a VM has."""
+def test_a_decompression_bomb_is_rejected_with_bounded_memory(bound: int) -> None:
+    """A record of the store's maximum size expands to 260 MB, more memory than a VM has."""
     bomb = zlib.compress(bytes(260_000_000), 9)
     assert len(bomb) <= 256 * 1024
     tracemalloc.start()
@@ -104,18 +104,20 @@
             JobPart,
             st.just("job-1"),
             st.sampled_from(["w", "x"]),
-            numbers,
-            numbers,
+            odd_numbers,
+            odd_numbers,
             st.binary(max_size=20),
         ),
         max_size=12,
     ),
-    st.lists(st.builds(ResultRecord, st.sampled_from(["job-1", "no job"]), numbers, st.just(DONE))),
+    st.lists(
+        st.builds(ResultRecord, st.sampled_from(["job-1", "no job"]), odd_numbers, st.just(DONE))
+    ),
 )
-def test_odd_parts_and_results_take_no_place(
+def test_invalid_parts_and_results_do_not_displace_valid_ones(
     parts: list[JobPart], results: list[ResultRecord]
 ) -> None:
-    """Negative and huge numbers, parts that disagree, items that are none: the sound ones stand."""
+    """Negative and huge numbers, contradicting parts and unknown items are ignored."""
     book = _book()
     for part in parts:
         book.apply(part)
@@ -130,10 +132,11 @@
     )
 
 
-def test_parts_of_one_writer_that_disagree_on_their_number_harm_no_others() -> None:
-    """A part that tells of nine hundred others comes first, under the name of the real writer.
+def test_parts_with_another_total_do_not_block_the_valid_parts() -> None:
+    """A first part with the name of the real writer declares a total of 300 parts.
 
-    Taken at its word, the real parts would never be enough, and an accepted job would be lost.
+    If that total was used, the real parts would never be complete and an accepted job would be
+    lost.
     """
     first, second = _in_two(make_job())
     book = _book()
@@ -143,24 +146,24 @@
     assert book.jobs["job-1"].job == make_job()
 
 
-def test_parts_that_make_no_job_leave_those_of_another_writer() -> None:
-    """A gateway has appended the first part of a job; somebody's nonsense is complete before it.
+def test_an_invalid_copy_does_not_discard_parts_of_another_writer() -> None:
+    """A gateway has appended the first part of a job; then an invalid copy becomes complete.
 
-    Thrown away with the nonsense, the first part would be missing when the second one comes: a job
-    that was accepted would be gone.
+    If the first part was discarded with the invalid copy, it would be missing when the second part
+    arrives, and an accepted job would be lost.
     """
     first, second = _in_two(make_job())
     book = _book()
     book.apply(first)
     assert isinstance(book.apply(JobPart("job-1", "bad", 0, 1, b"nonsense")), Err)
-    whole = encode_job(make_job("job-2"), "bad")[0]
-    assert isinstance(book.apply(JobPart("job-1", "bad", 0, 1, whole.data)), Err)
+    other_job_part = encode_job(make_job("job-2"), "bad")[0]
+    assert isinstance(book.apply(JobPart("job-1", "bad", 0, 1, other_job_part.data)), Err)
     assert book.apply(second) == Ok(None)
     assert book.jobs["job-1"].job == make_job()
 
 
 def _with_total(part: JobPart, total: int) -> JobPart:
-    """Return a part that tells of another number of parts."""
+    """Return a part that declares another total."""
     return msgspec.structs.replace(part, total=total, data=b"x")
 
 
@@ -171,33 +174,36 @@
     return JobPart(job.id, "w", 0, 2, first), JobPart(job.id, "w", 1, 2, second)
 
 
-def test_parts_whose_writer_never_came_to_the_last_are_forgotten() -> None:
-    """Each gateway that dies between two calls leaves some; kept for good they would fill the VM."""
+def test_parts_of_a_job_that_is_never_completed_are_removed() -> None:
+    """Each gateway that dies between two calls leaves parts of a job.
+
+    Kept forever, they would fill the memory of the VM.
+    """
     clock = FakeClock()
-    book = JobBook(clock, KEEP)
+    book = JobBook(clock, RETENTION)
     book.apply(_in_two(make_job())[0])
-    assert book._parts
-    clock.advance(KEEP + timedelta(seconds=1))
+    assert book._incomplete_jobs
+    clock.advance(RETENTION + timedelta(seconds=1))
     book.forget_old()
-    assert not book._parts
+    assert not book._incomplete_jobs
 
 
 @pytest.mark.parametrize("submitted", [float("nan"), float("inf"), float("-inf")])
-def test_a_job_of_no_time_is_none(submitted: float) -> None:
-    """Its items could never be given up."""
+def test_a_job_without_a_finite_submission_time_is_rejected(submitted: float) -> None:
+    """The items of such a job could never expire."""
     (part,) = encode_job(msgspec.structs.replace(make_job(), submitted=submitted), "w")
     assert isinstance(_book().apply(part), Err)
 
 
-def test_a_job_with_an_item_twice_is_none() -> None:
-    """Its item would stand at two positions."""
+def test_a_job_with_a_duplicate_item_is_rejected() -> None:
+    """The item would be listed at two positions."""
     item = Item("i", "/p/x", (), b"")
     (part,) = encode_job(Job("job-1", "h", "/p/1", (item, item), 0.0), "w")
     assert isinstance(_book().apply(part), Err)
 
 
-def test_a_job_too_long_to_be_read_again_is_refused() -> None:
-    """Accepted it would be lost: no node could decode it."""
+def test_a_job_too_large_to_be_decoded_is_refused() -> None:
+    """If it was accepted it would be lost, because no node could decode it."""
 
     async def scene() -> None:
         node = Node(FakeStore())
@@ -209,18 +215,21 @@
     run_virtual(scene())
 
 
-def test_bad_records_of_each_kind_are_counted_and_the_sound_ones_behind_them_taken() -> None:
-    """A partition holds bytes, a bomb, a part of no job and a result of no item before sound records."""
+def test_invalid_records_are_counted_and_later_valid_ones_applied() -> None:
+    """A partition holds several kinds of invalid records before valid ones.
+
+    These are arbitrary bytes, a decompression bomb, a part of no job and a result of no item.
+    """
 
     async def scene() -> None:
         store = FakeStore()
         part = partition_of("job-1", PARTS)
         parts = encode_job(make_job(), "w")
         bomb = b"z" + zlib.compress(bytes(40_000_000))
-        bad = [b"", b"\xff\xff", bomb, *encode_records([JobPart("job-1", "w", -1, 1, b"")])]
-        odd = ResultRecord("job-1", -1, DONE)
-        good = encode_records([*parts, odd, ResultRecord("job-1", 2, DONE)])
-        store.append(TOPIC_JOBS, part, [*bad, *good])
+        undecodable = [b"", b"\xff\xff", bomb, *encode_records([JobPart("job-1", "w", -1, 1, b"")])]
+        invalid_result = ResultRecord("job-1", -1, DONE)
+        valid = encode_records([*parts, invalid_result, ResultRecord("job-1", 2, DONE)])
+        store.append(TOPIC_JOBS, part, [*undecodable, *valid])
         node = Node(store)
         await asyncio.sleep(0.1)
         assert [index for index, _ in node.jobs.book.jobs["job-1"].results] == [2]
@@ -231,11 +240,11 @@
     run_virtual(scene())
 
 
-def test_a_result_in_another_partition_than_its_jobs_is_passed_over() -> None:
-    """Two results of one item stand in two partitions.
+def test_a_result_in_the_wrong_partition_is_ignored() -> None:
+    """Two results of one item are stored in two partitions.
 
-    Nodes read partitions side by side, so that each would list the one that it happened to read
-    first: the same position would hold another result at another node.
+    Nodes read partitions concurrently, so each would list the result that it happened to read
+    first, and the same position would hold different results on different nodes.
     """
 
     async def scene() -> None:
@@ -255,9 +264,9 @@
     run_virtual(scene())
 
 
-@given(st.lists(foreign(*SOUND), max_size=5))
-def test_whatever_stands_in_a_partition_the_job_behind_it_is_known(records: list[bytes]) -> None:
-    """The tail goes on over all of it."""
+@given(st.lists(foreign(*VALID_RECORDS), max_size=5))
+def test_a_job_after_arbitrary_records_is_still_read(records: list[bytes]) -> None:
+    """The tail continues after every invalid record."""
 
     async def scene() -> None:
         store = FakeStore()
--- a/tests/jobs/test_groups.py
+++ b/tests/jobs/test_groups.py
@@ -1,4 +1,4 @@
-"""Which groups of a job a reader was given whole."""
+"""Detection of the groups of a job that a reader has received completely."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -12,27 +12,35 @@
 
 
 @given(st.permutations(range(8)), st.lists(st.tuples(st.integers(0, 8), st.integers(0, 8))))
-def test_each_group_is_named_once_and_only_when_it_is_whole(
+def test_each_complete_group_is_reported_exactly_once(
     order: list[int], reads: list[tuple[int, int]]
 ) -> None:
-    """Readers ask from any position while results come; a page that ends a group names it, once."""
+    """Readers request any range while results arrive.
+
+    The page that completes a group reports it once.
+    """
     job = make_job(items=8)
     groups, results = JobGroups(job), [(index, _DONE) for index in order]
-    named: list[str] = []
+    reported: list[str] = []
     listed = 0
     for after, end in reads:
         until = max(after, end)
         listed = max(listed, until)
-        found = groups.newly_read(results[:listed], after, until)
-        for group in found:
-            last = max(at for at, index in enumerate(order) if job.items[index].group == group)
+        newly_reported = groups.newly_read(results[:listed], after, until)
+        for group in newly_reported:
+            last = max(
+                position for position, index in enumerate(order) if job.items[index].group == group
+            )
             assert after <= last < until
-        named += found
-    assert len(named) == len(set(named))
+        reported += newly_reported
+    assert len(reported) == len(set(reported))
+
 
+def test_a_group_skipped_by_a_reader_is_reported_when_read() -> None:
+    """A reader requests a later position first.
 
-def test_a_group_that_an_odd_reader_skipped_is_named_when_it_is_read() -> None:
-    """One reader asks from a later position first; the groups before it are still to be named."""
+    The groups before that position are reported when they are read.
+    """
     groups, results = JobGroups(make_job()), [(index, _DONE) for index in range(4)]
     assert groups.newly_read(results, 2, 4) == ["g1"]
     assert groups.newly_read(results, 0, 4) == ["g0"]
--- a/tests/jobs/test_knowledge.py
+++ b/tests/jobs/test_knowledge.py
@@ -1,7 +1,7 @@
-"""What a gateway knows of a job never seems younger than it is, and misses no end.
+"""The view that a gateway has of a job never seems more recent than it is and misses no end.
 
-Work that reaches an engine later than three seconds after the end was recorded shows a gap; each test
-plays one way to it.
+In each test a job ends in another way; no work may reach an engine more than three seconds after
+the end was recorded.
 """
 
 import asyncio
@@ -28,11 +28,11 @@
 
 
 @pytest.mark.parametrize("too_slow", [False, True])
-def test_reads_that_fail_for_all_do_not_say_that_nothing_is_written(too_slow: bool) -> None:
-    """The store turns all reads away, or is too slow with them, and takes appends: signs, and the end.
+def test_failing_reads_are_not_taken_for_a_full_outage(too_slow: bool) -> None:
+    """The store refuses all reads or is too slow for them, but accepts appends, including the end.
 
-    No gateway can read, and each hears the same from its peers. Taken for an outage of the store, the
-    end would go unheard for as long as it lasts.
+    No gateway can read, and each learns the same from its peers. If this counted as an outage of
+    the store, the end would go unnoticed for as long as it lasts.
     """
 
     async def scene() -> None:
@@ -50,8 +50,11 @@
     run_virtual(scene())
 
 
-def test_a_gateway_that_knows_no_peer_is_not_all() -> None:
-    """All others stop or have not been heard of yet, so no peer can be asked; the store is silent here."""
+def test_a_gateway_without_peers_does_not_assume_a_full_outage() -> None:
+    """All other gateways are stopping or not known yet, so no peer can be queried.
+
+    The store does not answer this gateway.
+    """
 
     async def scene() -> None:
         ended, engine = StoreWithJob(make_store()), SingleEngineDispatcher()
@@ -65,8 +68,11 @@
     run_virtual(scene())
 
 
-def test_an_outage_for_all_does_not_cover_what_was_missed_before_it() -> None:
-    """A gateway is cut off alone for five seconds, in which the job ends; then the store is out for all."""
+def test_a_full_outage_does_not_hide_an_end_missed_before_it() -> None:
+    """One gateway is isolated for five seconds, in which the job ends.
+
+    Then the store becomes unavailable for all gateways.
+    """
 
     async def scene() -> None:
         ended, engine = StoreWithJob(make_store()), SingleEngineDispatcher()
@@ -85,13 +91,13 @@
     run_virtual(scene())
 
 
-def test_the_way_to_the_engine_is_within_what_is_left() -> None:
-    """A request may get its upstream just before its knowledge is too old, and then has to connect."""
+def test_connecting_to_an_engine_fits_into_the_cancel_bound() -> None:
+    """A request may get its upstream just before its view expires, and then has to connect."""
     assert timedelta(seconds=CANCEL_BOUND) > KNOWN_WITHIN + DEFAULT_CONNECT_TIMEOUT
 
 
-def test_a_run_of_a_job_that_stays_open_for_long_hears_its_end() -> None:
-    """A job is older than what is kept for readers, and still open; its item is repeated until its end."""
+def test_a_run_of_a_long_open_job_learns_of_its_end() -> None:
+    """An open job is older than the retention time; its item is retried until the job ends."""
 
     async def scene() -> None:
         ended, engine = StoreWithJob(make_store()), SingleEngineDispatcher()
@@ -109,8 +115,8 @@
     run_virtual(scene())
 
 
-def test_an_end_that_was_deleted_before_it_was_read_counts_as_read() -> None:
-    """A gateway is cut off until the partition's oldest records, the end with them, are deleted."""
+def test_an_end_deleted_before_it_was_read_still_stops_work() -> None:
+    """A gateway is cut off until the oldest records of the partition, with the end, are deleted."""
 
     async def scene() -> None:
         ended, engine = StoreWithJob(make_store()), SingleEngineDispatcher()
@@ -128,8 +134,8 @@
     run_virtual(scene())
 
 
-def test_a_late_copy_does_not_open_a_job_whose_first_copy_was_deleted() -> None:
-    """The partition keeps the end and a copy appended after it; a gateway that starts reads just these."""
+def test_a_delayed_copy_does_not_open_a_job_with_a_deleted_first_copy() -> None:
+    """A starting gateway reads only the end and a copy of the job that was appended after it."""
 
     async def scene() -> None:
         ended, engine = StoreWithJob(FakeStore()), SingleEngineDispatcher()
@@ -142,8 +148,11 @@
     run_virtual(scene())
 
 
-def test_the_age_that_is_told_is_that_of_a_request_that_went_out() -> None:
-    """An item waits four seconds for its place, cut off; its turn is refused, and nothing went out."""
+def test_the_reported_age_is_that_of_a_sent_request() -> None:
+    """An item of an isolated gateway waits four seconds in the queue.
+
+    It is then refused, so nothing was sent and no age may be reported.
+    """
 
     async def scene() -> None:
         ended, engine = StoreWithJob(make_store()), SingleEngineDispatcher(queue_s=4.0)
@@ -157,8 +166,8 @@
     run_virtual(scene())
 
 
-def test_items_that_wait_for_knowledge_ask_for_it_now_and_then() -> None:
-    """Two hundred items wait while no peer answers; each refused question is a call that costs."""
+def test_items_waiting_for_a_refresh_do_not_flood_the_peers() -> None:
+    """Two hundred items wait while no peer answers, and each refused query costs a call."""
 
     async def scene() -> None:
         items = tuple(
--- a/tests/jobs/test_marks.py
+++ b/tests/jobs/test_marks.py
@@ -1,4 +1,4 @@
-"""Nodes that start begin at the marks of partitions, and know of older jobs what all others know."""
+"""Nodes start at the marks of partitions, and know as much about older jobs as other nodes."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,13 +23,13 @@
 from tests.store_fake import FakeStore, StoreLink
 from tests.virtual_time import LoopClock, run_virtual
 
-KEEP = timedelta(seconds=180)
+RETENTION = timedelta(seconds=180)
 MARKS = "keyed.marks"
 ITEMS = 4
 
 
 class Node:
-    """A node that follows one partition from its mark on, and writes marks."""
+    """A node that follows one partition from its mark, and writes marks."""
 
     def __init__(
         self, store: FakeStore, name: str = "front-1", link: StoreLink | None = None
@@ -37,7 +37,7 @@
         self.link = StoreLink(store) if link is None else link
         clock = LoopClock()
         health = StoreHealth(clock)
-        self.jobs = JobService(self.link, 1, clock, health, Metrics(), KEEP)
+        self.jobs = JobService(self.link, 1, clock, health, Metrics(), RETENTION)
         self.marks = MarkKeeper(self.jobs, self.link, MARKS, clock, health, name, lambda: [name])
         self.tasks = [
             asyncio.ensure_future(work) for work in (self.marks.async_run(), self._follow())
@@ -48,14 +48,14 @@
         await self.jobs.tails[0].async_run()
 
     async def async_stop(self) -> None:
-        """Stop as a process does that is killed."""
+        """Stop like a process that is killed."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         await self.jobs.async_close()
 
     async def async_listed(self, job_id: str) -> list[str] | JobProblem:
-        """Return the texts that it lists of a job, or why it lists none."""
+        """Return the texts that the node lists for a job, or the reason why it lists none."""
         read = await self.jobs.async_read(job_id, 0, timedelta())
         if read.is_err():
             return read.unwrap_err().problem
@@ -75,39 +75,42 @@
         _append(store, JobEnded(job_id))
 
 
-async def _async_marked(store: FakeStore) -> None:
-    """Let a node read all and write the mark, then stop it."""
+async def _async_write_mark(store: FakeStore) -> None:
+    """Let a node read everything and write the mark, then stop it."""
     node = Node(store, "front-0")
     await asyncio.sleep(3 * MARK_INTERVAL.total_seconds())
     await node.async_stop()
 
 
-async def _async_behind_an_old_job() -> Node:
-    """Return a node that began at a mark behind a job that is over."""
+async def _async_node_after_finished_job() -> Node:
+    """Return a node that started at a mark after the records of a finished job."""
     store = FakeStore()
     _add_job(store, "old", ITEMS, ended=True)
-    await _async_marked(store)
+    await _async_write_mark(store)
     node = Node(store)
     await asyncio.sleep(0.1)
     return node
 
 
-def _mark(store: FakeStore) -> PartitionMark:
+def _newest_mark(store: FakeStore) -> PartitionMark:
     link = StoreLink(store)
     keyed = link.unpack_keyed(store.records[MARKS, 0][-1])
     assert keyed is not None
     return read_mark(keyed.value).unwrap()
 
 
-def test_a_node_that_starts_reads_what_is_open_and_not_what_is_over() -> None:
-    """Of twenty jobs one is open: the node knows it, with its results, and has read nothing of the others."""
+def test_a_starting_node_reads_only_the_open_jobs() -> None:
+    """One of twenty-one jobs is open.
+
+    The node lists it with its results, and has read nothing of the finished jobs.
+    """
 
     async def scene() -> None:
         store = FakeStore()
         for number in range(20):
             _add_job(store, f"old-{number}", ITEMS, ended=True)
         _add_job(store, "job-1", 2)
-        await _async_marked(store)
+        await _async_write_mark(store)
         node = Node(store)
         await asyncio.sleep(0.1)
         assert list(node.jobs.book.jobs) == ["job-1"]
@@ -118,10 +121,11 @@
 
 
 @pytest.mark.parametrize("ended", [True, False])
-def test_a_job_before_the_mark_is_listed_as_everywhere(ended: bool) -> None:
-    """A result of a job that is over stands behind the mark: its position is the same at every node.
+def test_a_job_before_the_mark_is_listed_as_on_other_nodes(ended: bool) -> None:
+    """A result of a finished job is stored after the mark; its position is the same on every node.
 
-    Folded from the mark on alone, or from before it alone, the list would lack a result that was read.
+    A list built only from the records after the mark, or only from those before it, would lack a
+    result that a caller has read.
     """
 
     async def scene() -> None:
@@ -133,7 +137,7 @@
         _append(store, JobEnded("old"))
         node = Node(store)
         await asyncio.sleep(0.1)
-        assert _mark(store).offset > 0 and node.jobs.book.jobs == {}
+        assert _newest_mark(store).offset > 0 and node.jobs.book.jobs == {}
         texts = [f"old text {index}" for index in range(ITEMS)]
         assert await first.async_listed("old") == texts
         assert await node.async_listed("old") == texts
@@ -143,13 +147,13 @@
     run_virtual(scene())
 
 
-def test_a_late_copy_of_a_job_that_is_over_does_not_open_it_again() -> None:
-    """An append without an answer takes effect after the job's end and after the mark."""
+def test_a_delayed_copy_of_a_finished_job_does_not_reopen_it() -> None:
+    """An unacknowledged append takes effect after the end of the job and after the mark."""
 
     async def scene() -> None:
         store = FakeStore()
         _add_job(store, "old", 1, ended=True)
-        await _async_marked(store)
+        await _async_write_mark(store)
         _append(store, *encode_job(make_job("old", ITEMS), "late"))
         node = Node(store)
         await asyncio.sleep(0.1)
@@ -162,11 +166,14 @@
     run_virtual(scene())
 
 
-def test_that_there_is_no_such_job_is_said_only_after_reading_all() -> None:
-    """The store falls silent after the start: not sure; it is back: the old job is there, another is not."""
+def test_a_job_is_reported_unknown_only_after_a_complete_read() -> None:
+    """The store stops answering after the start, so it is uncertain whether a job exists.
+
+    Once the store answers again, the old job is found and the other one is reported as unknown.
+    """
 
     async def scene() -> None:
-        node = await _async_behind_an_old_job()
+        node = await _async_node_after_finished_job()
         node.link.silent = True
         assert await node.async_listed("old") is JobProblem.NOT_SURE
         assert await node.async_listed("none") is JobProblem.NOT_SURE
@@ -179,19 +186,21 @@
     run_virtual(scene())
 
 
-def test_many_who_ask_for_old_jobs_make_one_reading() -> None:
-    """Twenty callers ask for a job before the mark: the partition is read once."""
+def test_concurrent_requests_for_old_jobs_share_one_read() -> None:
+    """Twenty callers request a job before the mark; the partition is read once."""
 
     async def scene() -> None:
-        node = await _async_behind_an_old_job()
+        node = await _async_node_after_finished_job()
         starts: list[int] = []
         read = node.link.async_read
 
-        async def noted(topic: str, part: int, start: int, *args: Any) -> Result[Any, StoreError]:
+        async def async_read_recorded(
+            topic: str, part: int, start: int, *args: Any
+        ) -> Result[Any, StoreError]:
             starts.append(start)
             return await read(topic, part, start, *args)
 
-        node.link.async_read = noted  # type: ignore[method-assign]
+        node.link.async_read = async_read_recorded  # type: ignore[method-assign]
         await asyncio.gather(*(node.async_listed("old") for _ in range(20)))
         assert starts.count(0) == 1
         await node.async_stop()
@@ -204,8 +213,8 @@
     [b"nonsense", write_mark(PartitionMark(-1)), write_mark(PartitionMark(10_000))],
     ids=["unreadable", "before the first record", "past the end"],
 )
-def test_a_bad_mark_costs_time_and_no_job(value: bytes) -> None:
-    """A mark that another writer spoiled: the partition is read from its oldest record on."""
+def test_an_invalid_mark_loses_no_job(value: bytes) -> None:
+    """Another writer has corrupted a mark; the partition is read from its oldest record."""
 
     async def scene() -> None:
         store = FakeStore()
@@ -219,13 +228,16 @@
     run_virtual(scene())
 
 
-def test_marks_that_cannot_be_read_hold_up_a_start_for_a_bounded_time() -> None:
-    """The partition of the marks is out and those of the jobs are not: everything is read instead."""
+def test_unreadable_marks_delay_a_start_for_a_bounded_time() -> None:
+    """The partition of the marks is unavailable, those of the jobs are available.
+
+    The node reads all jobs instead.
+    """
 
     async def scene() -> None:
         store = FakeStore()
         _add_job(store, "old", ITEMS, ended=True)
-        await _async_marked(store)
+        await _async_write_mark(store)
         link = StoreLink(store)
         link.refusing = lambda topic, _part: topic == MARKS
         node = Node(store, link=link)
@@ -236,18 +248,21 @@
     run_virtual(scene())
 
 
-def test_an_older_mark_that_comes_late_is_true_too() -> None:
-    """A writer that was frozen writes its old mark over a newer one: what is open is known all the same."""
+def test_a_delayed_older_mark_is_still_valid() -> None:
+    """A suspended writer overwrites a newer mark with its old one.
+
+    All open jobs are still found.
+    """
 
     async def scene() -> None:
         store = FakeStore()
         _add_job(store, "old", ITEMS, ended=True)
-        await _async_marked(store)
-        late = store.records[MARKS, 0][-1]
+        await _async_write_mark(store)
+        delayed_record = store.records[MARKS, 0][-1]
         _add_job(store, "next", ITEMS, ended=True)
         _add_job(store, "job-1", 1)
-        await _async_marked(store)
-        store.append(MARKS, 0, [late])
+        await _async_write_mark(store)
+        store.append(MARKS, 0, [delayed_record])
         node = Node(store)
         await asyncio.sleep(0.1)
         assert node.jobs.book.jobs["job-1"].open
@@ -257,15 +272,19 @@
     run_virtual(scene())
 
 
-def test_one_node_writes_the_mark_of_a_partition() -> None:
-    """Three nodes live: each mark is written by the one that all rank first, and only when it has moved."""
+def test_only_one_node_writes_the_mark_of_a_partition() -> None:
+    """Three nodes are live.
+
+    Each mark is written only by the node that rendezvous hashing ranks first, and only when it
+    changed.
+    """
 
     async def scene() -> None:
         store = FakeStore()
         _add_job(store, "job-1", 1)
         nodes = [Node(store, f"front-{number}") for number in range(3)]
         for node in nodes:
-            node.marks._live = lambda: ["front-0", "front-1", "front-2"]
+            node.marks._live_nodes = lambda: ["front-0", "front-1", "front-2"]
         await asyncio.sleep(5 * MARK_INTERVAL.total_seconds())
         assert len(store.records[MARKS, 0]) == 1
         for node in nodes:
@@ -275,14 +294,14 @@
 
 
 class _BoundedReads(SharedReads):
-    """A way to a store of bounded bandwidth, on which a record weighs what its bytes weigh."""
+    """A connection to a store of limited bandwidth; a record has the weight of its bytes."""
 
     weigh: Callable[[bytes], float] = staticmethod(lambda record: len(record) / 1024**2)
 
     async def async_read(
         self, topic: str, part: int, start: int, wait: timedelta, timeout: timedelta
     ) -> Result[Any, StoreError]:
-        """Read once the page is through."""
+        """Return the page after the time that its transfer takes."""
         found = await StoreLink.async_read(self, topic, part, start, wait, timeout)
         if found.is_ok():
             await asyncio.sleep(self.bandwidth.send(sum(map(self.weigh, found.unwrap().records))))
@@ -290,10 +309,10 @@
 
 
 @pytest.mark.parametrize("count", [9, 36, 91])
-def test_a_start_of_all_nodes_takes_as_long_as_what_is_open(count: int) -> None:
-    """Three minutes of ended jobs before one that is open: all nodes know the open one in what it takes to read it.
+def test_the_start_time_of_all_nodes_depends_only_on_open_jobs(count: int) -> None:
+    """Three minutes of ended jobs precede an open one; all nodes read only the open one.
 
-    Read from the oldest record on, 91 nodes needed the store's whole bandwidth for seconds.
+    Reading from the oldest record, 91 nodes needed the entire bandwidth of the store for seconds.
     """
 
     async def scene() -> None:
@@ -302,7 +321,7 @@
             _add_job(store, f"old-{number}", ITEMS, ended=True)
             _append(store, ResultRecord(f"old-{number}", 0, _long_result()))
         _add_job(store, "job-1", 2)
-        await _async_marked(store)
+        await _async_write_mark(store)
         nodes = [
             Node(store, f"front-{number}", _BoundedReads(store, bandwidth))
             for number in range(count)
