--- a/cranberryline/gateway/app.py
+++ b/cranberryline/gateway/app.py
@@ -23,7 +23,7 @@
 from cranberryline.helpers.shutdown import Shutdown, StopOutcome
 from cranberryline.helpers.tail import KeyedTail, PartitionTail, StoreHealth
 from cranberryline.jobs import JobState
-from cranberryline.jobs.mark_keeper import MarkKeeper
+from cranberryline.jobs.mark_keeper import MarkManager
 from cranberryline.jobs.runner import JobRunner, RunnerDependencies
 from cranberryline.jobs.service import JobService
 from cranberryline.leases import LeaseKeeper
@@ -122,7 +122,7 @@
             self._on_nodes,
             self.health,
         )
-        self.marks = MarkKeeper(
+        self.marks = MarkManager(
             self.jobs,
             self.store,
             platform.topic_marks,
--- a/cranberryline/jobs/book.py
+++ b/cranberryline/jobs/book.py
@@ -11,7 +11,7 @@
 from cranberryline.helpers.logging import get_logger
 
 from .codec import decode_job
-from .const import MAX_PARTS, READ_FOR
+from .const import MAX_PARTS, RESULT_READ_PERIOD
 from .marks import PartitionMark
 from .model import (
     Item,
@@ -23,10 +23,10 @@
     PackedResult,
     ResultRecord,
     TextPiece,
-    TextsBegin,
+    TextsStart,
 )
-from .state import JobState, Listed
-from .texts import KeptText, same_request
+from .partial_texts import PartialText, same_request
+from .state import JobState, ListedResult
 
 __all__ = ["JobBook", "JobState"]
 
@@ -53,7 +53,7 @@
         self._clock = clock
         self._retention = keep
         self._incomplete_jobs: dict[tuple[str, str, int], _IncompleteJob] = {}
-        self._completed_items: dict[str, tuple[JobState, int, Listed]] = {}
+        self._completed_items: dict[str, tuple[JobState, int, ListedResult]] = {}
         self._partial_texts: dict[str, tuple[JobState, int]] = {}
         self._ended_before_seen: dict[str, timedelta] = {}
         self._closed_jobs: dict[str, timedelta] = {}
@@ -81,10 +81,10 @@
             return Ok(None)
         if isinstance(record, TextPiece):
             return self._apply_piece(state, record, is_progress=True)
-        if isinstance(record, TextsBegin):
+        if isinstance(record, TextsStart):
             if record.offset < 0:
                 return Err("offset of the job texts is negative")
-            state.note_texts(record.offset)
+            state.set_texts_start(record.offset)
             return Ok(None)
         if isinstance(record, JobEnded):
             state.ended = True
@@ -97,7 +97,7 @@
         self._notify(state)
         return Ok(None)
 
-    def keep_piece(self, piece: TextPiece) -> None:
+    def add_piece(self, piece: TextPiece) -> None:
         """Apply a text piece read to resume a run; a piece that does not fit is ignored."""
         state = self.jobs.get(piece.job)
         if state is not None:
@@ -116,14 +116,14 @@
         is_same = state.readable and state.job.items[index] == item
         return listed.result if is_same else None
 
-    def begun(self, item: Item) -> KeptText | None:
+    def find_partial_text(self, item: Item) -> PartialText | None:
         """Return the longest partial text that some job stores for an identical item."""
         found = self._partial_texts.get(item.id)
         if found is None:
             return None
         state, index = found
         is_same = state.readable and same_request(state.job.items[index], item)
-        return state.texts.best(index) if is_same else None
+        return state.texts.longest(index) if is_same else None
 
     def forget_old(self) -> None:
         """Remove jobs past their retention time, and parts of jobs that were never completed.
@@ -169,16 +169,16 @@
         closed.difference_update(state.head.id for state in needed)
         return PartitionMark(min(start_offsets, default=end), tuple(sorted(filter(among, closed))))
 
-    def texts_begin(self, among: Callable[[str], bool]) -> int | None:
+    def texts_start(self, among: Callable[[str], bool]) -> int | None:
         """Return the lowest text offset of the jobs that are still needed.
 
         A job is needed while it has work or may be read by its caller. Only jobs for which `among`
         returns True are included. Returns None if no text of such a job is stored.
         """
         start_offsets = [
-            state.texts_begin
+            state.texts_start
             for state in self.jobs.values()
-            if state.texts_begin is not None and among(state.head.id) and self._is_needed(state)
+            if state.texts_start is not None and among(state.head.id) and self._is_needed(state)
         ]
         return min(start_offsets, default=None)
 
@@ -221,7 +221,7 @@
         positions here than on other nodes.
         """
         for state in [state for state in self.jobs.values() if among(state.head.id)]:
-            state.lacking = state.lacking or len(state.done) < len(state.head.items)
+            state.results_missing = state.results_missing or len(state.done) < len(state.head.items)
             if not state.open:
                 continue
             _LOGGER.warning("job_end_unread", request_id=state.head.id)
@@ -262,15 +262,15 @@
         if record.index in state.done:
             return
         if isinstance(record, PackedResult):
-            listed, completed = Listed(record.data), record.completed
+            listed, completed = ListedResult(record.data), record.completed
         else:
-            listed = Listed(record.result)
+            listed = ListedResult(record.result)
             completed = record.result.state is ItemState.COMPLETED
         state.done.add(record.index)
         state.listed.append((record.index, listed))
         item = state.head.items[record.index]
-        state.moved_at[item.group] = self._clock.monotonic()
-        state.texts.forget(record.index)
+        state.progressed_at[item.group] = self._clock.monotonic()
+        state.texts.remove(record.index)
         self._remove_partial_text(item.id, state)
         if completed:
             self._completed_items[item.id] = (state, record.index, listed)
@@ -285,11 +285,11 @@
             return Err("checksum of the text piece does not match")
         if piece.index in state.done:
             return Ok(None)
-        if not state.texts.take(piece):
+        if not state.texts.add(piece):
             return Err("text piece does not follow the stored pieces")
         item = state.head.items[piece.index]
         if is_progress:
-            state.moved_at[item.group] = self._clock.monotonic()
+            state.progressed_at[item.group] = self._clock.monotonic()
         self._partial_texts[item.id] = (state, piece.index)
         return Ok(None)
 
@@ -297,7 +297,7 @@
         """Return whether a job still has work or may still be read by its caller."""
         if state.ended:
             return False
-        return state.open or self._clock.monotonic() - state.seen_at < READ_FOR
+        return state.open or self._clock.monotonic() - state.seen_at < RESULT_READ_PERIOD
 
     def _remove_partial_text(self, item_id: str, state: JobState) -> None:
         found = self._partial_texts.get(item_id)
--- a/cranberryline/jobs/codec.py
+++ b/cranberryline/jobs/codec.py
@@ -34,7 +34,7 @@
     "encode_events",
     "encode_job",
     "encode_records",
-    "head_of",
+    "job_head",
 ]
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -64,14 +64,14 @@
     if len(encoded_items) > MAX_JOB_BYTES:
         return []
     details = zlib.compress(encoded_items, COMPRESSION_LEVEL)
-    head = zlib.compress(_ENCODER.encode(head_of(job, zlib.crc32(details))), COMPRESSION_LEVEL)
+    head = zlib.compress(_ENCODER.encode(job_head(job, zlib.crc32(details))), COMPRESSION_LEVEL)
     data = b"".join((_SPLIT_JOB_PREFIX, _HEAD_LENGTH.pack(len(head)), head, details))
     chunks = [data[start : start + PART_BYTES] for start in range(0, len(data), PART_BYTES)]
     total = len(chunks)
     return [JobPart(job.id, writer, index, total, chunk) for index, chunk in enumerate(chunks)]
 
 
-def head_of(job: Job, details_crc: int = 0) -> JobHead:
+def job_head(job: Job, details_crc: int = 0) -> JobHead:
     """Return the fields of a job that every node needs."""
     return JobHead(
         job.id,
@@ -102,7 +102,7 @@
     if isinstance(decoded, Err):
         return decoded
     job = decoded.unwrap()
-    return _validated(head_of(job)).map(lambda head: (head, job.items))
+    return _validated(job_head(job)).map(lambda head: (head, job.items))
 
 
 def _decode_split_job(data: bytes) -> Result[tuple[JobHead, bytes | tuple[Item, ...]], str]:
--- a/cranberryline/jobs/errors.py
+++ b/cranberryline/jobs/errors.py
@@ -13,9 +13,9 @@
 
     UNKNOWN_JOB = "unknown_job"
     UNKNOWN_ITEM = "unknown_item"
-    NOT_SURE = "job_not_sure"  # the store is unreachable: the answer is unknown
-    NOT_KEPT = "job_not_kept"  # the store refused the job: none of it will run
-    MAY_BE_KEPT = "job_may_be_kept"  # the store did not answer: the job may still run
+    UNCERTAIN = "job_not_sure"  # the store is unreachable: the answer is unknown
+    NOT_STORED = "job_not_kept"  # the store refused the job: none of it will run
+    MAY_BE_STORED = "job_may_be_kept"  # the store did not answer: the job may still run
 
 
 @attrs.frozen
--- a/cranberryline/jobs/knowledge.py
+++ b/cranberryline/jobs/freshness.py
@@ -7,13 +7,13 @@
 from cranberryline.helpers.clock import Clock
 from cranberryline.helpers.tail import PartitionTail
 
-from .const import KNOWN_WITHIN, REFRESH_PAUSE, REFRESH_TIMEOUT
+from .const import MAX_VIEW_AGE, REFRESH_RETRY_DELAY, REFRESH_TIMEOUT
 from .partition import partition_of
 
-__all__ = ["JobKnowledge"]
+__all__ = ["JobFreshness"]
 
 
-class JobKnowledge:
+class JobFreshness:
     """Determine the age of this node's view of jobs from the tails of their partitions.
 
     A node learns of the end of a job by reading its partition. A node that cannot read, or is slow
@@ -31,10 +31,10 @@
         """Return the maximum age of this node's view of a job, None if it is unbounded."""
         return self._tails[self._partition(job_id)].age()
 
-    def suffices(self, job_id: str) -> bool:
+    def is_fresh(self, job_id: str) -> bool:
         """Return whether the view of a job is recent enough to send work of the job."""
         age = self.age(job_id)
-        return age is not None and age < KNOWN_WITHIN
+        return age is not None and age < MAX_VIEW_AGE
 
     async def async_refresh(self, job_id: str) -> None:
         """Read to the end of a job's partition now; concurrent callers share one read."""
@@ -52,7 +52,7 @@
         Without the delay, hundreds of items would query the store and the peers in a loop.
         """
         if not await self._tails[partition].async_sync(REFRESH_TIMEOUT):
-            await self._clock.async_sleep(REFRESH_PAUSE)
+            await self._clock.async_sleep(REFRESH_RETRY_DELAY)
 
     def _partition(self, job_id: str) -> int:
         return partition_of(job_id, len(self._tails))
--- a/cranberryline/jobs/history.py
+++ b/cranberryline/jobs/history.py
@@ -10,7 +10,7 @@
 from cranberryline.ports.store import SharedLog
 
 from .book import JobBook
-from .const import REFRESH_PAUSE, TOPIC_JOBS
+from .const import REFRESH_RETRY_DELAY, TOPIC_JOBS
 
 __all__ = ["PartitionHistory"]
 
@@ -48,11 +48,11 @@
         self._incomplete_partitions: set[int] = set()
         self._read_tasks: dict[int, asyncio.Task[None]] = {}
 
-    def begin_behind(self, partition: int) -> None:
+    def require_backfill(self, partition: int) -> None:
         """Record that a partition is read from a mark instead of its oldest record."""
         self._incomplete_partitions.add(partition)
 
-    async def async_whole(self, partition: int, timeout: timedelta) -> bool:
+    async def async_backfill(self, partition: int, timeout: timedelta) -> bool:
         """Read the missing records of a partition; return False if that exceeds the timeout.
 
         Concurrent callers share one read. It continues after the timeout, so a retry finds more of
@@ -90,7 +90,7 @@
         )
         while tail.offset < own_tail.offset:
             if await tail.async_page() is not None:
-                await self._clock.async_sleep(REFRESH_PAUSE)
+                await self._clock.async_sleep(REFRESH_RETRY_DELAY)
         self._merge(partition, book)
         self._incomplete_partitions.discard(partition)
         duration_ms = in_milliseconds(self._clock.monotonic() - started_at)
--- a/cranberryline/jobs/item.py
+++ b/cranberryline/jobs/item.py
@@ -18,7 +18,7 @@
 from .item_context import ItemContext
 from .model import ItemResult, ItemState, Scorer, TextPiece
 from .phases import ItemPhases
-from .pieces import PieceCutter
+from .pieces import PieceBuilder
 from .run_monitor import RunMonitor
 from .sink import STATUS_OK, TextSink
 from .state import JobState
@@ -61,7 +61,7 @@
         self.job_data_age: timedelta | None = None
         self._failed_runs = 0
         self._moves = 0
-        self._pieces = PieceCutter(state.head.id, index)
+        self._pieces = PieceBuilder(state.head.id, index)
         self._retry_delay = _MIN_RETRY_DELAY
         self._avoided_upstreams: frozenset[str] = frozenset()
 
@@ -76,7 +76,7 @@
             route = self._match_route(self.state.job.host, self.item.path)
             if route is None or self._is_expired(route):
                 return ItemResult(ItemState.DEAD)
-            self._pieces.wanted = not route.single_version
+            self._pieces.enabled = not route.single_version
             failed = await self._async_generate_text(route)
             if failed is None:
                 await self._async_back_off()
@@ -116,7 +116,7 @@
             or not self._allows_versions(stored.versions)
         ):
             return
-        text = stored.read()
+        text = stored.decode()
         if text is None:
             _LOGGER.error("text_unreadable", request_id=self.item.id, job=self.state.job.id)
             return
@@ -125,22 +125,22 @@
 
     def next_piece(self) -> TextPiece | None:
         """Return the next piece of the text to store, if there is one."""
-        return self._pieces.next(self.text)
+        return self._pieces.next_piece(self.text)
 
     def confirm_piece(self, piece: TextPiece) -> None:
         """Record that a piece has been stored."""
-        self._pieces.stands(piece)
+        self._pieces.confirm(piece)
 
     async def _async_is_needed(self) -> bool:
         """Return whether the item still needs a result.
 
         Waits until this node's data about the job is recent enough to decide that.
         """
-        job, knowledge = self.state.job.id, self.context.knowledge
-        while self._is_needed() and not knowledge.suffices(job):
+        job, freshness = self.state.job.id, self.context.freshness
+        while self._is_needed() and not freshness.is_fresh(job):
             self.context.metrics.retry("job_known_too_little")
-            await knowledge.async_refresh(job)
-            if not knowledge.suffices(job):
+            await freshness.async_refresh(job)
+            if not freshness.is_fresh(job):
                 await self._async_back_off()
         return self._is_needed()
 
@@ -152,9 +152,9 @@
 
         The request may have been queued for seconds, and its job may have ended in the meantime.
         """
-        if not self._is_needed() or not self.context.knowledge.suffices(self.state.job.id):
+        if not self._is_needed() or not self.context.freshness.is_fresh(self.state.job.id):
             return False
-        self.job_data_age = self.context.knowledge.age(self.state.job.id)
+        self.job_data_age = self.context.freshness.age(self.state.job.id)
         return True
 
     def _match_route(self, host: str, path: str) -> Route | None:
@@ -197,7 +197,7 @@
             self._failed_runs += 1
             return True if self._failed_runs >= route.max_attempts else None
         refusal = outcome.err()
-        up_to_date = self.context.knowledge.suffices(self.state.job.id)
+        up_to_date = self.context.freshness.is_fresh(self.state.job.id)
         if refusal is not None and refusal.ran is Ran.NO and sink.upstream and up_to_date:
             self.context.rejecting_upstreams.start(sink.upstream, self.context.clock.monotonic())
         reason = sink.abort_reason or (refusal.reason if refusal else "cut")
--- a/cranberryline/jobs/item_context.py
+++ b/cranberryline/jobs/item_context.py
@@ -16,12 +16,12 @@
 from cranberryline.routes import RouteBook
 from cranberryline.upstreams.versions import UpstreamVersions
 
-from .knowledge import JobKnowledge
+from .freshness import JobFreshness
 from .model import Item, ItemResult
+from .partial_texts import PartialText
 from .ports import EdgeFormat
 from .scoring import ScoringSlots
 from .state import JobState
-from .texts import KeptText
 
 __all__ = ["ItemContext"]
 
@@ -44,9 +44,9 @@
     scoring_slots: ScoringSlots
     # Returns the result of the same item in any known job, if it is completed.
     find_result: Callable[[Item], ItemResult | None]
-    knowledge: JobKnowledge
+    freshness: JobFreshness
     # Returns the longest stored partial text of the same item in any known job.
-    find_partial_text: Callable[[Item], KeptText | None] = lambda _item: None
+    find_partial_text: Callable[[Item], PartialText | None] = lambda _item: None
     # Reads the stored partial texts of a job from the log.
     async_read_texts: Callable[[JobState], Awaitable[None]] = _async_read_nothing
     hedge_budget: HedgeBudget = attrs.field(factory=HedgeBudget)
--- a/cranberryline/jobs/mark_keeper.py
+++ b/cranberryline/jobs/mark_keeper.py
@@ -12,16 +12,16 @@
 from cranberryline.helpers.tail import StoreHealth
 from cranberryline.ports.store import SharedLog
 
-from .const import ACCEPT_PAUSE, MARK_INTERVAL, MARK_TIMEOUT, MARKS_PATIENCE, TRIM_INTERVAL
-from .marks import PartitionMark, read_mark, write_mark
+from .const import MARK_INTERVAL, MARK_TIMEOUT, MARKS_READ_TIMEOUT, STORE_RETRY_DELAY, TRIM_INTERVAL
+from .marks import PartitionMark, decode_mark, encode_mark
 from .service import JobService
 
-__all__ = ["MarkKeeper"]
+__all__ = ["MarkManager"]
 
 _LOGGER = get_logger(__name__)
 
 
-class MarkKeeper:
+class MarkManager:
     """Limit what a starting node reads to the open jobs, regardless of the length of the log.
 
     Nodes that start at the same time share the bandwidth of the store. Reading all jobs of the last
@@ -66,11 +66,11 @@
 
         Partitions start at their oldest record if the marks cannot be read in time.
         """
-        deadline = self._clock.monotonic() + MARKS_PATIENCE
+        deadline = self._clock.monotonic() + MARKS_READ_TIMEOUT
         while (remaining := deadline - self._clock.monotonic()) > timedelta():
             snapshot = await self._log.async_newest(self._topic, remaining)
             if isinstance(snapshot, Err):
-                await self._clock.async_sleep(ACCEPT_PAUSE)
+                await self._clock.async_sleep(STORE_RETRY_DELAY)
                 continue
             for record in snapshot.unwrap().records:
                 self._apply_record(record.key, record.value)
@@ -78,7 +78,7 @@
         _LOGGER.warning("marks_unread")
 
     def _apply_record(self, key: str, value: bytes) -> None:
-        decoded = read_mark(value)
+        decoded = decode_mark(value)
         partition = int(key) if key.isascii() and key.isdigit() else -1
         if isinstance(decoded, Err) or not 0 <= partition < len(self._jobs.tails):
             detail = decoded.err() or "key is not a valid partition number"
@@ -96,7 +96,7 @@
             if mark != self._last_written.get(partition)
         }
         records = [
-            self._log.pack_keyed(str(partition), write_mark(mark))
+            self._log.pack_keyed(str(partition), encode_mark(mark))
             for partition, mark in changed.items()
         ]
         if records:
--- a/cranberryline/jobs/marks.py
+++ b/cranberryline/jobs/marks.py
@@ -5,7 +5,7 @@
 
 from cranberryline.helpers.decode import decode_msgpack
 
-__all__ = ["PartitionMark", "read_mark", "write_mark"]
+__all__ = ["PartitionMark", "decode_mark", "encode_mark"]
 
 
 class PartitionMark(msgspec.Struct, array_like=True, frozen=True):
@@ -25,12 +25,12 @@
 _MARK_DECODER = msgspec.msgpack.Decoder(PartitionMark)
 
 
-def write_mark(mark: PartitionMark) -> bytes:
+def encode_mark(mark: PartitionMark) -> bytes:
     """Return the encoded mark."""
     return msgspec.msgpack.encode(mark)
 
 
-def read_mark(data: bytes) -> Result[PartitionMark, str]:
+def decode_mark(data: bytes) -> Result[PartitionMark, str]:
     """Decode a mark; the error says why it is invalid."""
     decoded = decode_msgpack(data, _MARK_DECODER)
     if decoded.is_ok() and decoded.unwrap().offset < 0:
--- a/cranberryline/jobs/model.py
+++ b/cranberryline/jobs/model.py
@@ -21,7 +21,7 @@
     "ResultRecord",
     "Scorer",
     "TextPiece",
-    "TextsBegin",
+    "TextsStart",
 ]
 
 
@@ -165,7 +165,7 @@
     crc: int
 
 
-class TextsBegin(msgspec.Struct, array_like=True, frozen=True, gc=False, tag="texts"):
+class TextsStart(msgspec.Struct, array_like=True, frozen=True, gc=False, tag="texts"):
     """The offset of a job's first text piece in the texts topic, in the job's partition."""
 
     job: str
@@ -178,4 +178,4 @@
     job: str
 
 
-JobRecord = JobPart | ResultRecord | PackedResult | TextPiece | TextsBegin | JobEnded
+JobRecord = JobPart | ResultRecord | PackedResult | TextPiece | TextsStart | JobEnded
--- a/cranberryline/jobs/pieces.py
+++ b/cranberryline/jobs/pieces.py
@@ -8,7 +8,7 @@
 from .events import ItemText
 from .model import TextPiece
 
-__all__ = ["PieceCutter"]
+__all__ = ["PieceBuilder"]
 
 _LOGGER = get_logger(__name__)
 
@@ -18,11 +18,11 @@
 MAX_PIECE_BYTES = 100 * 1024
 
 
-class PieceCutter:
+class PieceBuilder:
     """Create the numbered pieces of one item's runs on this node, one pending at a time."""
 
     def __init__(self, job: str, index: int) -> None:
-        self.wanted = False
+        self.enabled = False
         self._job = job
         self._index = index
         self._writer = uuid.uuid4().hex[:12]
@@ -30,7 +30,7 @@
         self._pending: TextPiece | None = None
         self._stopped = False
 
-    def next(self, text: ItemText) -> TextPiece | None:
+    def next_piece(self, text: ItemText) -> TextPiece | None:
         """Return the piece to append now, None if there is none.
 
         This is the pending piece if its append was not acknowledged, otherwise a new one.
@@ -38,7 +38,7 @@
         if self._pending is not None:
             return self._pending
         if (
-            not self.wanted
+            not self.enabled
             or self._stopped
             or text.uncut_count < MIN_PIECE_EVENTS
             or text.last_id is None
@@ -65,7 +65,7 @@
         )
         return self._pending
 
-    def stands(self, piece: TextPiece) -> None:
+    def confirm(self, piece: TextPiece) -> None:
         """Record that the pending piece is stored; the next piece follows it."""
         if piece is self._pending:
             self._pending = None
--- a/cranberryline/jobs/plan.py
+++ b/cranberryline/jobs/plan.py
@@ -60,7 +60,7 @@
         for planned in self._groups:
             if planned.delay and not up_to_date:
                 continue
-            since = max(state.seen_at, state.moved_at.get(planned.group, state.seen_at))
+            since = max(state.seen_at, state.progressed_at.get(planned.group, state.seen_at))
             if now - since < planned.delay:
                 continue
             planned.remaining = [index for index in planned.remaining if index not in state.done]
--- a/cranberryline/jobs/runner.py
+++ b/cranberryline/jobs/runner.py
@@ -19,7 +19,6 @@
 from .groups import group_of
 from .item import ItemRun
 from .item_context import ItemContext
-from .keeper import TextKeeper
 from .model import ItemResult, JobRecord, ResultRecord
 from .partition import partition_of
 from .plan import JobPlan
@@ -27,6 +26,7 @@
 from .scoring import ScoringSlots
 from .service import JobService
 from .state import JobState
+from .text_checkpointer import TextCheckpointer
 
 __all__ = ["JobRunner", "RunnerDependencies"]
 
@@ -110,11 +110,11 @@
             self._rng,
             ScoringSlots(dependencies.dispatcher.places),
             dependencies.jobs.book.completed,
-            dependencies.jobs.knowledge,
-            dependencies.jobs.book.begun,
+            dependencies.jobs.freshness,
+            dependencies.jobs.book.find_partial_text,
             dependencies.jobs.texts.async_read,
         )
-        self._keeper = TextKeeper(
+        self._keeper = TextCheckpointer(
             dependencies.jobs,
             dependencies.clock,
             lambda: (item.run for item in self._running.values()),
--- a/cranberryline/jobs/service.py
+++ b/cranberryline/jobs/service.py
@@ -20,18 +20,18 @@
 from .book import JobBook
 from .codec import decode_record, encode_job, encode_records
 from .const import (
-    ACCEPT_PATIENCE,
-    ACCEPT_PAUSE,
+    ACCEPT_TIMEOUT,
+    APPEND_CHECK_TIMEOUT,
     APPEND_TIMEOUT,
-    CALL_BYTES,
-    MAX_RESULT_BYTES,
+    MAX_CALL_BYTES,
+    MAX_PAGE_BYTES,
     READ_TIMEOUT,
-    SETTLE_TIME,
+    STORE_RETRY_DELAY,
     TOPIC_JOBS,
 )
 from .errors import JobProblem, JobRefused
+from .freshness import JobFreshness
 from .history import PartitionHistory
-from .knowledge import JobKnowledge
 from .marks import PartitionMark
 from .model import ItemHead, ItemResult, Job, JobEnded, JobRecord
 from .partition import partition_of
@@ -92,7 +92,7 @@
             )
             for partition in range(partitions)
         ]
-        self.knowledge = JobKnowledge(self.tails, clock)
+        self.freshness = JobFreshness(self.tails, clock)
         self._history = PartitionHistory(
             log,
             self.tails,
@@ -119,7 +119,7 @@
             return
         self.tails[partition].offset = mark.offset
         self.book.close(mark.closed)
-        self._history.begin_behind(partition)
+        self._history.require_backfill(partition)
 
     def mark(self, partition: int) -> PartitionMark:
         """Return the checkpoint from which a node that starts now may read the partition.
@@ -142,8 +142,8 @@
         records = encode_records(encode_job(job, uuid.uuid4().hex))
         if not records:
             _LOGGER.warning("job_too_long", request_id=job.id)
-            self._metrics.refuse(JobProblem.NOT_KEPT.value)
-            return Err(JobRefused(JobProblem.NOT_KEPT))
+            self._metrics.refuse(JobProblem.NOT_STORED.value)
+            return Err(JobRefused(JobProblem.NOT_STORED))
         for batch in _split_batches(records):
             error = await self._async_append_with_retry(
                 job.id, batch, lambda: job.id in self.book.jobs
@@ -184,7 +184,7 @@
     async def async_find(self, job_id: str) -> Result[JobState, JobRefused]:
         """Return a job.
 
-        The error is `UNKNOWN_JOB` only if the whole partition has been read, and `NOT_SURE` if the
+        The error is `UNKNOWN_JOB` only if the whole partition has been read, and `UNCERTAIN` if the
         partition cannot be read now or records of the job may be missing.
         """
         state = self.book.jobs.get(job_id)
@@ -193,8 +193,8 @@
             state = self.book.jobs.get(job_id)
             if state is None and read:
                 return Err(JobRefused(JobProblem.UNKNOWN_JOB))
-        if state is None or state.lacking:
-            return Err(JobRefused(JobProblem.NOT_SURE))
+        if state is None or state.results_missing:
+            return Err(JobRefused(JobProblem.UNCERTAIN))
         return Ok(state)
 
     async def _async_read_whole_partition(self, job_id: str) -> bool:
@@ -206,7 +206,7 @@
         if not await self._tail(job_id).async_sync(READ_TIMEOUT):
             return False
         partition = partition_of(job_id, len(self.tails))
-        return await self._history.async_whole(partition, deadline - self._clock.monotonic())
+        return await self._history.async_backfill(partition, deadline - self._clock.monotonic())
 
     async def async_read(
         self, job_id: str, after: int, wait: timedelta
@@ -228,9 +228,9 @@
         complete = len(state.listed) == len(state.head.items)
         may_be_outdated = len(state.listed) <= after and not complete
         if may_be_outdated and not await self._tail(job_id).async_sync(READ_TIMEOUT):
-            return Err(JobRefused(JobProblem.NOT_SURE))
-        if state.lacking:
-            return Err(JobRefused(JobProblem.NOT_SURE))
+            return Err(JobRefused(JobProblem.UNCERTAIN))
+        if state.results_missing:
+            return Err(JobRefused(JobProblem.UNCERTAIN))
         page = _make_page(state, after)
         if groups := state.groups.newly_read(state.listed, after, page.next):
             _LOGGER.info("groups_read", request_id=job_id, groups=groups, next=page.next)
@@ -255,16 +255,16 @@
         records are found in the log after such an append.
         """
         partition = partition_of(job_id, len(self.tails))
-        deadline = self._clock.monotonic() + ACCEPT_PATIENCE - SETTLE_TIME
+        deadline = self._clock.monotonic() + ACCEPT_TIMEOUT - APPEND_CHECK_TIMEOUT
         while (remaining := deadline - self._clock.monotonic()) > timedelta():
             appended = await self._log.async_append(TOPIC_JOBS, partition, records, remaining)
             if isinstance(appended, Ok):
                 return None
             if appended.unwrap_err().problem is not StoreProblem.REFUSED:
-                await self._tail(job_id).async_sync(SETTLE_TIME)
-                return None if is_stored() else self._make_error(JobProblem.MAY_BE_KEPT, job_id)
-            await self._clock.async_sleep(ACCEPT_PAUSE)
-        return self._make_error(JobProblem.NOT_KEPT, job_id)
+                await self._tail(job_id).async_sync(APPEND_CHECK_TIMEOUT)
+                return None if is_stored() else self._make_error(JobProblem.MAY_BE_STORED, job_id)
+            await self._clock.async_sleep(STORE_RETRY_DELAY)
+        return self._make_error(JobProblem.NOT_STORED, job_id)
 
     def _make_error(self, problem: JobProblem, job_id: str) -> JobRefused:
         """Return an error with a retry delay that depends on the duration of the outage."""
@@ -320,7 +320,7 @@
     batch: list[bytes] = []
     size = 0
     for record in records:
-        if batch and size + len(record) > CALL_BYTES:
+        if batch and size + len(record) > MAX_CALL_BYTES:
             yield batch
             batch, size = [], 0
         batch.append(record)
@@ -335,7 +335,7 @@
     for index, listed in state.listed[after:]:
         result = listed.result
         size += len(result.text.encode()) + len(result.score) + 100
-        if results and size > MAX_RESULT_BYTES:
+        if results and size > MAX_PAGE_BYTES:
             break
         results.append((state.head.items[index], result))
     return JobPage(len(state.head.items), after + len(results), tuple(results))
--- a/cranberryline/jobs/state.py
+++ b/cranberryline/jobs/state.py
@@ -7,17 +7,17 @@
 
 from cranberryline.helpers.logging import get_logger
 
-from .codec import decode_items, decode_result, head_of
+from .codec import decode_items, decode_result, job_head
 from .groups import JobGroups
 from .model import Item, ItemResult, ItemState, Job, JobHead
-from .texts import KeptTexts
+from .partial_texts import PartialTexts
 
-__all__ = ["JobState", "Listed"]
+__all__ = ["JobState", "ListedResult"]
 
 _LOGGER = get_logger(__name__)
 
 
-class Listed:
+class ListedResult:
     """A listed result, decoded when it is first read."""
 
     __slots__ = ("_result",)
@@ -45,30 +45,30 @@
     """A job and its listed results; `listed` has the order of the result records in the log.
 
     `details` are the items of the job, compressed until the first item is requested on this node.
-    `first_offset` is the offset of the job's first record in its partition. `moved_at` holds the
-    time of the last progress of each group.
+    `first_offset` is the offset of the job's first record in its partition. `progressed_at` holds
+    the time of the last progress of each group.
     """
 
     head: JobHead
     details: bytes | tuple[Item, ...]
     seen_at: timedelta
     first_offset: int = 0
-    listed: list[tuple[int, Listed]] = attrs.field(factory=list)
+    listed: list[tuple[int, ListedResult]] = attrs.field(factory=list)
     done: set[int] = attrs.field(factory=set)
     ended: bool = False
-    moved_at: dict[str, timedelta] = attrs.field(factory=dict)
-    texts: KeptTexts = attrs.field(factory=KeptTexts)
+    progressed_at: dict[str, timedelta] = attrs.field(factory=dict)
+    texts: PartialTexts = attrs.field(factory=PartialTexts)
     # Offset of the job's first text piece in the texts topic, and the offset read so far.
-    texts_begin: int | None = None
-    texts_at: int = 0
+    texts_start: int | None = None
+    texts_read_offset: int = 0
     # Whether results of the job may have been deleted before this node read them.
-    lacking: bool = False
+    results_missing: bool = False
     _job: Job | None = None
 
     @classmethod
-    def of(cls, job: Job, seen_at: timedelta) -> "JobState":
+    def from_job(cls, job: Job, seen_at: timedelta) -> "JobState":
         """Return the state of a job that is already decoded."""
-        return cls(head_of(job), job.items, seen_at)
+        return cls(job_head(job), job.items, seen_at)
 
     @cached_property
     def groups(self) -> JobGroups:
@@ -110,10 +110,10 @@
             )
         return self._job
 
-    def note_texts(self, offset: int) -> None:
+    def set_texts_start(self, offset: int) -> None:
         """Record that a text piece of the job is stored at an offset of the texts topic."""
-        if self.texts_begin is None or offset < self.texts_begin:
-            self.texts_begin = self.texts_at = offset
+        if self.texts_start is None or offset < self.texts_start:
+            self.texts_start = self.texts_read_offset = offset
 
     @property
     def results(self) -> list[tuple[int, ItemResult]]:
--- a/cranberryline/jobs/keeper.py
+++ b/cranberryline/jobs/text_checkpointer.py
@@ -12,7 +12,7 @@
 from .partition import partition_of
 from .service import JobService
 
-__all__ = ["TextKeeper"]
+__all__ = ["TextCheckpointer"]
 
 # Limits how much of a text is lost with its node. A second of a text is about 26 events and 4.5 KB
 # compressed, so a node with 20 long texts makes one call per partition and second.
@@ -25,7 +25,7 @@
 _MAX_BATCH_PIECES = 16
 
 
-class TextKeeper:
+class TextCheckpointer:
     """Append what running texts have generated since the last checkpoint.
 
     Without checkpoints, a text that was lost with its node starts from the beginning: after a kill
@@ -103,6 +103,6 @@
 
     async def _async_append(self, pieces: list[TextPiece]) -> bool:
         if self._node_count() > MAX_PIECE_READERS:
-            return await self._jobs.texts.async_keep(pieces)
+            return await self._jobs.texts.async_append(pieces)
         records: list[JobRecord] = [*pieces]
         return await self._jobs.async_record(pieces[0].job, records)
--- a/cranberryline/jobs/text_log.py
+++ b/cranberryline/jobs/text_log.py
@@ -13,15 +13,15 @@
 from .book import JobBook
 from .codec import decode_record, encode_records
 from .const import (
-    ACCEPT_PAUSE,
     APPEND_TIMEOUT,
     MARK_TIMEOUT,
     READ_TIMEOUT,
-    TEXTS_PATIENCE,
+    STORE_RETRY_DELAY,
+    TEXTS_READ_TIMEOUT,
     TOPIC_JOBS,
     TOPIC_TEXTS,
 )
-from .model import TextPiece, TextsBegin
+from .model import TextPiece, TextsStart
 from .partition import partition_of
 from .state import JobState
 
@@ -46,7 +46,7 @@
         self._unannounced: dict[str, int] = {}
         self._read_tasks: dict[str, asyncio.Task[None]] = {}
 
-    async def async_keep(self, pieces: list[TextPiece]) -> bool:
+    async def async_append(self, pieces: list[TextPiece]) -> bool:
         """Append pieces of one partition; return False if the append was not acknowledged."""
         partition = partition_of(pieces[0].job, self._partition_count)
         records = encode_records(pieces)
@@ -54,7 +54,7 @@
         if isinstance(appended, Err):
             return False
         for piece in pieces:
-            self._book.keep_piece(piece)
+            self._book.add_piece(piece)
             self._unannounced.setdefault(piece.job, appended.unwrap().offset)
         await self._async_announce(partition, {piece.job for piece in pieces})
         return True
@@ -62,9 +62,9 @@
     async def async_read(self, state: JobState) -> None:
         """Read the pieces that other nodes have stored for a job.
 
-        No further page is requested after `TEXTS_PATIENCE`.
+        No further page is requested after `TEXTS_READ_TIMEOUT`.
         """
-        if state.texts_begin is None:
+        if state.texts_start is None:
             return
         job_id = state.head.id
         if job_id not in self._read_tasks:
@@ -79,7 +79,7 @@
         A job whose first piece is not announced yet may lose it; a run that would resume its text
         then starts over.
         """
-        start_offset = self._book.texts_begin(
+        start_offset = self._book.texts_start(
             lambda job_id: partition_of(job_id, self._partition_count) == partition
         )
         if start_offset:
@@ -102,7 +102,7 @@
         if not new_job_ids:
             return
         records = encode_records(
-            [TextsBegin(job_id, self._unannounced[job_id]) for job_id in new_job_ids]
+            [TextsStart(job_id, self._unannounced[job_id]) for job_id in new_job_ids]
         )
         appended = await self._log.async_append(TOPIC_JOBS, partition, records, APPEND_TIMEOUT)
         if isinstance(appended, Ok):
@@ -119,7 +119,7 @@
         if (
             state is not None
             and not state.ended
-            and (state.texts_begin is None or start_offset < state.texts_begin)
+            and (state.texts_start is None or start_offset < state.texts_start)
         ):
             return True
         del self._unannounced[job_id]
@@ -127,33 +127,33 @@
 
     async def _async_read(self, state: JobState) -> None:
         started_at = self._clock.monotonic()
-        first_offset = state.texts_at
-        while self._clock.monotonic() - started_at < TEXTS_PATIENCE and not state.ended:
+        first_offset = state.texts_read_offset
+        while self._clock.monotonic() - started_at < TEXTS_READ_TIMEOUT and not state.ended:
             if await self._async_page(state):
                 break
         duration_ms = in_milliseconds(self._clock.monotonic() - started_at)
-        records = state.texts_at - first_offset
+        records = state.texts_read_offset - first_offset
         _LOGGER.info("texts_read", request_id=state.head.id, records=records, ms=duration_ms)
 
     async def _async_page(self, state: JobState) -> bool:
         """Read one page; return True at the end of the partition."""
         partition = partition_of(state.head.id, self._partition_count)
         read = await self._log.async_read(
-            TOPIC_TEXTS, partition, state.texts_at, timedelta(), READ_TIMEOUT
+            TOPIC_TEXTS, partition, state.texts_read_offset, timedelta(), READ_TIMEOUT
         )
         if isinstance(read, Ok):
             return self._apply_page(state, read.unwrap())
         error = read.unwrap_err()
-        if error.problem is StoreProblem.GONE and error.position > state.texts_at:
-            state.texts_at = error.position
+        if error.problem is StoreProblem.GONE and error.position > state.texts_read_offset:
+            state.texts_read_offset = error.position
             return False
-        await self._clock.async_sleep(ACCEPT_PAUSE)
+        await self._clock.async_sleep(STORE_RETRY_DELAY)
         return False
 
     def _apply_page(self, state: JobState, read: LogRead) -> bool:
-        for data in read.records[max(state.texts_at - read.start, 0) :]:
-            state.texts_at += 1
+        for data in read.records[max(state.texts_read_offset - read.start, 0) :]:
+            state.texts_read_offset += 1
             piece = decode_record(data)
             if isinstance(piece, TextPiece) and piece.job == state.head.id:
-                self._book.keep_piece(piece)
-        return state.texts_at >= read.end
+                self._book.add_piece(piece)
+        return state.texts_read_offset >= read.end
--- a/cranberryline/reports/steps.py
+++ b/cranberryline/reports/steps.py
@@ -12,7 +12,7 @@
 __all__ = ["moment", "steps_of"]
 
 # Refusals of a submission; readers of the job are refused under its id too.
-_NOT_ACCEPTED = frozenset({JobProblem.NOT_KEPT.value, JobProblem.MAY_BE_KEPT.value})
+_NOT_ACCEPTED = frozenset({JobProblem.NOT_STORED.value, JobProblem.MAY_BE_STORED.value})
 
 
 def moment(timestamp: float) -> datetime:
--- a/tests/jobs/engine_harness.py
+++ b/tests/jobs/engine_harness.py
@@ -134,7 +134,7 @@
             Random(1),
             ScoringSlots(self.dispatcher.places),
             lambda _item: None,
-            cast(Any, SimpleNamespace(suffices=lambda _job: True, age=lambda _job: timedelta())),
+            cast(Any, SimpleNamespace(is_fresh=lambda _job: True, age=lambda _job: timedelta())),
         )
 
     def add(self, row: Registration, **engine: Any) -> FakeEngine:
@@ -157,7 +157,7 @@
         """Run an item until it is completed, and return its result."""
         item = Item(name, "/p/x", (), b"b", 10, "g0", told_tokens=told_tokens)
         job = Job("j1", "h.example", "/p/1", (item,), 0.0, MODEL, 1, min_version, 1)
-        state = JobState.of(job, timedelta())
+        state = JobState.from_job(job, timedelta())
         result = await ItemRun(self.context, state, 0).async_run()
         assert result is not None and result.state is ItemState.COMPLETED
         return result
--- a/tests/jobs/test_codec.py
+++ b/tests/jobs/test_codec.py
@@ -21,7 +21,7 @@
     encode_job,
     encode_records,
 )
-from cranberryline.jobs.codec import decode_job, head_of
+from cranberryline.jobs.codec import decode_job, job_head
 from cranberryline.jobs.model import JobRecord, PackedResult
 
 from .test_book import RETENTION, make_job
@@ -148,7 +148,7 @@
 
     The job cannot run, and nothing else is affected.
     """
-    state = JobState(head_of(make_job()), details, timedelta())
+    state = JobState(job_head(make_job()), details, timedelta())
     assert not state.readable
     assert state.item("job-1-i2") is None
     with pytest.raises(ValueError):
--- a/tests/jobs/test_fold_machine.py
+++ b/tests/jobs/test_fold_machine.py
@@ -32,7 +32,7 @@
     encode_job,
     encode_records,
 )
-from cranberryline.jobs.const import READ_FOR
+from cranberryline.jobs.const import RESULT_READ_PERIOD
 from cranberryline.jobs.marks import PartitionMark
 from cranberryline.jobs.model import JobRecord
 from tests.jobs.test_book import make_job
@@ -194,7 +194,7 @@
         if len(self.readers) >= 6 or (source.start and source.marked_at is None):
             return
         if after_read_period:
-            source.clock.advance(READ_FOR)
+            source.clock.advance(RESULT_READ_PERIOD)
         mark = source.book.mark(source.offset, lambda _: True)
         if mark.offset >= self.first:
             reader = self._reader(mark.offset)
--- a/tests/jobs/test_foreign_records.py
+++ b/tests/jobs/test_foreign_records.py
@@ -209,7 +209,7 @@
         node = Node(FakeStore())
         job = make_job(items=1, body=bytes(MAX_JOB_BYTES))
         refused = await node.jobs.async_submit(job)
-        assert refused.unwrap_err().problem is JobProblem.NOT_KEPT
+        assert refused.unwrap_err().problem is JobProblem.NOT_STORED
         assert not node.link.appends
 
     run_virtual(scene())
--- a/tests/jobs/test_knowledge.py
+++ b/tests/jobs/test_freshness.py
@@ -10,7 +10,7 @@
 import pytest
 
 from cranberryline.jobs.codec import encode_job, encode_records
-from cranberryline.jobs.const import KNOWN_WITHIN
+from cranberryline.jobs.const import MAX_VIEW_AGE
 from cranberryline.jobs.model import Item, Job, JobEnded
 from cranberryline.ports.const import DEFAULT_CONNECT_TIMEOUT
 from tests.store_fake import FakeStore
@@ -93,7 +93,7 @@
 
 def test_connecting_to_an_engine_fits_into_the_cancel_bound() -> None:
     """A request may get its upstream just before its view expires, and then has to connect."""
-    assert timedelta(seconds=CANCEL_BOUND) > KNOWN_WITHIN + DEFAULT_CONNECT_TIMEOUT
+    assert timedelta(seconds=CANCEL_BOUND) > MAX_VIEW_AGE + DEFAULT_CONNECT_TIMEOUT
 
 
 def test_a_run_of_a_long_open_job_learns_of_its_end() -> None:
--- a/tests/jobs/test_marks.py
+++ b/tests/jobs/test_marks.py
@@ -11,10 +11,15 @@
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.helpers.tail import StoreHealth
 from cranberryline.jobs.codec import encode_job, encode_records
-from cranberryline.jobs.const import MARK_INTERVAL, MARKS_PATIENCE, READ_FOR, TOPIC_JOBS
+from cranberryline.jobs.const import (
+    MARK_INTERVAL,
+    MARKS_READ_TIMEOUT,
+    RESULT_READ_PERIOD,
+    TOPIC_JOBS,
+)
 from cranberryline.jobs.errors import JobProblem
-from cranberryline.jobs.mark_keeper import MarkKeeper
-from cranberryline.jobs.marks import PartitionMark, read_mark, write_mark
+from cranberryline.jobs.mark_keeper import MarkManager
+from cranberryline.jobs.marks import PartitionMark, decode_mark, encode_mark
 from cranberryline.jobs.model import ItemResult, ItemState, JobEnded, JobRecord, ResultRecord
 from cranberryline.jobs.service import JobService
 from cranberryline.ports.store import StoreError
@@ -38,7 +43,7 @@
         clock = LoopClock()
         health = StoreHealth(clock)
         self.jobs = JobService(self.link, 1, clock, health, Metrics(), RETENTION)
-        self.marks = MarkKeeper(self.jobs, self.link, MARKS, clock, health, name, lambda: [name])
+        self.marks = MarkManager(self.jobs, self.link, MARKS, clock, health, name, lambda: [name])
         self.tasks = [
             asyncio.ensure_future(work) for work in (self.marks.async_run(), self._follow())
         ]
@@ -96,7 +101,7 @@
     link = StoreLink(store)
     keyed = link.unpack_keyed(store.records[MARKS, 0][-1])
     assert keyed is not None
-    return read_mark(keyed.value).unwrap()
+    return decode_mark(keyed.value).unwrap()
 
 
 def test_a_starting_node_reads_only_the_open_jobs() -> None:
@@ -132,7 +137,7 @@
         store = FakeStore()
         _add_job(store, "old", ITEMS if not ended else 3, ended)
         first = Node(store, "front-0")
-        await asyncio.sleep(READ_FOR.total_seconds() + 3)
+        await asyncio.sleep(RESULT_READ_PERIOD.total_seconds() + 3)
         _append(store, ResultRecord("old", 3, ItemResult(ItemState.COMPLETED, "old text 3")))
         _append(store, JobEnded("old"))
         node = Node(store)
@@ -175,8 +180,8 @@
     async def scene() -> None:
         node = await _async_node_after_finished_job()
         node.link.silent = True
-        assert await node.async_listed("old") is JobProblem.NOT_SURE
-        assert await node.async_listed("none") is JobProblem.NOT_SURE
+        assert await node.async_listed("old") is JobProblem.UNCERTAIN
+        assert await node.async_listed("none") is JobProblem.UNCERTAIN
         node.link.silent = False
         await asyncio.sleep(4)
         assert await node.async_listed("none") is JobProblem.UNKNOWN_JOB
@@ -210,7 +215,7 @@
 
 @pytest.mark.parametrize(
     "value",
-    [b"nonsense", write_mark(PartitionMark(-1)), write_mark(PartitionMark(10_000))],
+    [b"nonsense", encode_mark(PartitionMark(-1)), encode_mark(PartitionMark(10_000))],
     ids=["unreadable", "before the first record", "past the end"],
 )
 def test_an_invalid_mark_loses_no_job(value: bytes) -> None:
@@ -241,7 +246,7 @@
         link = StoreLink(store)
         link.refusing = lambda topic, _part: topic == MARKS
         node = Node(store, link=link)
-        await asyncio.sleep(MARKS_PATIENCE.total_seconds() + 0.2)
+        await asyncio.sleep(MARKS_READ_TIMEOUT.total_seconds() + 0.2)
         assert list(node.jobs.book.jobs) == ["old"]
         await node.async_stop()
 
--- a/tests/jobs/test_texts.py
+++ b/tests/jobs/test_partial_texts.py
@@ -17,8 +17,8 @@
 from cranberryline.jobs.codec import decode_record, encode_events, encode_records
 from cranberryline.jobs.events import Event, ItemText
 from cranberryline.jobs.model import JobEnded, TextPiece
-from cranberryline.jobs.pieces import MIN_PIECE_EVENTS, PieceCutter
-from cranberryline.jobs.texts import KeptTexts
+from cranberryline.jobs.partial_texts import PartialTexts
+from cranberryline.jobs.pieces import MIN_PIECE_EVENTS, PieceBuilder
 
 from .test_book import RETENTION, make_job
 
@@ -30,9 +30,9 @@
     return text
 
 
-def _new_builder(item: int = 0) -> PieceCutter:
-    builder = PieceCutter("job-1", item)
-    builder.wanted = True
+def _new_builder(item: int = 0) -> PieceBuilder:
+    builder = PieceBuilder("job-1", item)
+    builder.enabled = True
     return builder
 
 
@@ -40,9 +40,9 @@
     """Return the pieces that one node stores of a text that grows by these numbers of events."""
     text, builder, pieces = ItemText(), _new_builder(), []
     for number, span in enumerate(spans):
-        piece = builder.next(_add_events(text, span, number + 1, mark))
+        piece = builder.next_piece(_add_events(text, span, number + 1, mark))
         assert piece is not None
-        builder.stands(piece)
+        builder.confirm(piece)
         pieces.append(piece)
     return pieces
 
@@ -58,17 +58,17 @@
     """
     chains = [_pieces(one, "a"), _pieces(other, "b")]
     remaining = [list(chain) for chain in chains]
-    texts = KeptTexts()
+    texts = PartialTexts()
     while any(remaining):
         chosen = rng.choice([chain for chain in remaining if chain])
         piece = chosen.pop(0)
-        assert texts.take(piece)
-        assert texts.take(piece)
-    longest = texts.best(0)
+        assert texts.add(piece)
+        assert texts.add(piece)
+    longest = texts.longest(0)
     if longest is None:
         assert not one and not other
         return
-    text = longest.read()
+    text = longest.decode()
     assert text is not None
     mark = text.events[0][0]
     assert text.events == [f"{mark}{number + 1}" for number in range(len(text.events))]
@@ -82,31 +82,31 @@
     The first append may have taken effect nevertheless.
     """
     text, builder = _add_events(ItemText(), 20, 1), _new_builder()
-    first = builder.next(text)
+    first = builder.next_piece(text)
     assert first is not None and first.count == 20
     _add_events(text, 20, 2)
-    assert builder.next(text) is first
-    builder.stands(first)
-    second = builder.next(text)
+    assert builder.next_piece(text) is first
+    builder.confirm(first)
+    second = builder.next_piece(text)
     assert second is not None
     assert (second.number, second.count, second.versions, second.last_id) == (1, 20, (2,), 40)
 
 
 def test_a_short_text_is_not_stored() -> None:
     """The text ends sooner than it could be resumed."""
-    assert _new_builder().next(_add_events(ItemText(), MIN_PIECE_EVENTS - 1, 1)) is None
-    assert PieceCutter("job-1", 0).next(_add_events(ItemText(), 100, 1)) is None
+    assert _new_builder().next_piece(_add_events(ItemText(), MIN_PIECE_EVENTS - 1, 1)) is None
+    assert PieceBuilder("job-1", 0).next_piece(_add_events(ItemText(), 100, 1)) is None
 
 
 def test_pieces_after_a_missing_piece_are_rejected() -> None:
     """A piece is missing, so the next one does not follow the stored pieces."""
     first, _, third = _pieces([20, 20, 20], "a")
-    texts = KeptTexts()
-    assert texts.take(first)
-    assert not texts.take(third)
+    texts = PartialTexts()
+    assert texts.add(first)
+    assert not texts.add(third)
     shifted = msgspec.structs.replace(third, number=1)
-    assert not texts.take(shifted)
-    longest = texts.best(0)
+    assert not texts.add(shifted)
+    longest = texts.longest(0)
     assert longest is not None and longest.pieces == (first,)
 
 
@@ -124,10 +124,10 @@
     for piece in _pieces([20, 30], "a"):
         book.apply(piece).unwrap()
     book.apply(JobEnded("job-1"))
-    found = book.begun(item)
+    found = book.find_partial_text(item)
     assert found is not None and found.versions == (1, 2)
-    assert book.begun(msgspec.structs.replace(item, body=b"other")) is None
-    assert book.begun(msgspec.structs.replace(item, scorer=None)) is not None
+    assert book.find_partial_text(msgspec.structs.replace(item, body=b"other")) is None
+    assert book.find_partial_text(msgspec.structs.replace(item, scorer=None)) is not None
 
 
 def test_pieces_are_removed_when_the_item_has_a_result() -> None:
@@ -138,7 +138,7 @@
     book.apply(first)
     book.apply(ResultRecord("job-1", 0, ItemResult(ItemState.COMPLETED, "t", (1,))))
     book.apply(second)
-    assert book.begun(item) is None and book.jobs["job-1"].texts.best(0) is None
+    assert book.find_partial_text(item) is None and book.jobs["job-1"].texts.longest(0) is None
 
 
 def test_pieces_are_removed_with_their_job() -> None:
@@ -152,7 +152,7 @@
     book.apply(JobEnded("job-1"))
     clock.advance(timedelta(seconds=11))
     book.forget_old()
-    assert book.begun(item) is None and not book._partial_texts
+    assert book.find_partial_text(item) is None and not book._partial_texts
 
 
 def test_corrupt_pieces_and_pieces_of_unknown_items_are_rejected() -> None:
@@ -163,8 +163,8 @@
         assert book.apply(msgspec.structs.replace(piece, **change)).is_err()
     data, crc = encode_events(["only one"])
     assert book.apply(msgspec.structs.replace(piece, data=data, crc=crc)).is_ok()
-    longest = book.jobs["job-1"].texts.best(0)
-    assert longest is not None and longest.read() is None
+    longest = book.jobs["job-1"].texts.longest(0)
+    assert longest is not None and longest.decode() is None
 
 
 def test_a_piece_is_decoded_as_it_was_encoded() -> None:
@@ -177,14 +177,14 @@
 
 def test_a_resumed_text_is_stored_from_its_beginning() -> None:
     """The text has a new writer, so its first piece contains all events so far."""
-    texts = KeptTexts()
+    texts = PartialTexts()
     for piece in _pieces([20, 20], "a"):
-        texts.take(piece)
-    longest = texts.best(0)
+        texts.add(piece)
+    longest = texts.longest(0)
     assert longest is not None
-    text = longest.read()
+    text = longest.decode()
     assert text is not None
-    piece = _new_builder().next(_add_events(text, 15, 7))
+    piece = _new_builder().next_piece(_add_events(text, 15, 7))
     assert piece is not None
     assert (piece.count, piece.last_id, piece.versions) == (55, 55, (1, 2, 7))
-    assert texts.take(piece)
+    assert texts.add(piece)
--- a/tests/jobs/test_result_positions.py
+++ b/tests/jobs/test_result_positions.py
@@ -35,7 +35,7 @@
 
     After that it reads the later results. It must not list them from position 0 on: a caller
     reading there would get a different result than at other nodes, and one continuing at position 2
-    would miss two items. `NOT_SURE` is a valid answer.
+    would miss two items. `UNCERTAIN` is a valid answer.
     """
 
     async def scenario() -> None:
--- a/tests/jobs/test_service.py
+++ b/tests/jobs/test_service.py
@@ -64,7 +64,7 @@
         one.link.refusing = lambda _topic, _part: True
         began_at = LoopClock().monotonic()
         answer = await one.jobs.async_submit(make_job())
-        assert answer.unwrap_err().problem is JobProblem.NOT_KEPT
+        assert answer.unwrap_err().problem is JobProblem.NOT_STORED
         assert LoopClock().monotonic() - began_at < timedelta(seconds=1.2)
         await asyncio.sleep(5)
         assert two.jobs.book.jobs == {}
@@ -97,7 +97,7 @@
         one, two = await _async_start_nodes(FakeStore(), 2)
         one.link.lost, one.link.late = 1, timedelta(seconds=4)
         answer = await one.jobs.async_submit(make_job())
-        assert answer.unwrap_err().problem is JobProblem.MAY_BE_KEPT
+        assert answer.unwrap_err().problem is JobProblem.MAY_BE_STORED
         await asyncio.sleep(5)
         assert "job-1" in two.jobs.book.jobs
         assert isinstance(await two.jobs.async_submit(make_job()), Ok)
@@ -118,7 +118,7 @@
         began_at = LoopClock().monotonic()
         first = (await one.jobs.async_submit(make_job())).unwrap_err()
         assert LoopClock().monotonic() - began_at < timedelta(seconds=1.05)
-        assert first.problem is JobProblem.MAY_BE_KEPT
+        assert first.problem is JobProblem.MAY_BE_STORED
         await asyncio.sleep(3)
         later = (await one.jobs.async_submit(make_job())).unwrap_err()
         assert first.retry_after and later.retry_after
@@ -135,7 +135,7 @@
         two.link.silent = True
         await one.jobs.async_submit(make_job())
         read = await two.jobs.async_read("job-1", 0, timedelta())
-        assert read.unwrap_err().problem is JobProblem.NOT_SURE
+        assert read.unwrap_err().problem is JobProblem.UNCERTAIN
         read_unknown = await one.jobs.async_read("job-2", 0, timedelta())
         assert read_unknown.unwrap_err().problem is JobProblem.UNKNOWN_JOB
 
--- a/tests/jobs/test_keeper.py
+++ b/tests/jobs/test_text_checkpointer.py
@@ -13,9 +13,9 @@
 from cranberryline.dispatch.errors import Refusal, RefusalReason
 from cranberryline.dispatch.model import AnswerSink, CallerRequest
 from cranberryline.jobs.codec import encode_job, encode_records
-from cranberryline.jobs.const import TEXTS_PATIENCE
-from cranberryline.jobs.keeper import CHECKPOINT_INTERVAL, MAX_PIECE_READERS
+from cranberryline.jobs.const import TEXTS_READ_TIMEOUT
 from cranberryline.jobs.model import ItemState, JobEnded
+from cranberryline.jobs.text_checkpointer import CHECKPOINT_INTERVAL, MAX_PIECE_READERS
 from tests.jobs.gateway_fake import Gateway, Node, SingleEngineDispatcher, make_open_job, make_store
 from tests.store_fake import FakeStore
 from tests.virtual_time import run_virtual
@@ -176,7 +176,7 @@
         bystander = Node(store)
         await asyncio.sleep(2)
         state = bystander.jobs.book.jobs["job-1"]
-        assert state.texts_begin == 0 and state.texts_at == 0
+        assert state.texts_start == 0 and state.texts_read_offset == 0
         await _async_kill(gateway)
 
     run_virtual(scene())
@@ -195,7 +195,7 @@
         await asyncio.sleep(1)
         assert await _async_complete_text(second) == COMPLETE_TEXT
         restarted_at, resumed_after = engine.requests[1]
-        assert resumed_after == 0 and restarted_at < 3 + TEXTS_PATIENCE.total_seconds() + 0.5
+        assert resumed_after == 0 and restarted_at < 3 + TEXTS_READ_TIMEOUT.total_seconds() + 0.5
         await _async_kill(second)
 
     run_virtual(scene())
@@ -215,7 +215,7 @@
         await asyncio.sleep(2)
         first.link.refusing = lambda _topic, _part: False
         await asyncio.sleep(2.5)
-        assert first.jobs.book.jobs["job-1"].texts_begin == 0
+        assert first.jobs.book.jobs["job-1"].texts_start == 0
         await _async_kill(first)
         second = _gateway(store, engine, LARGE_FLEET)
         assert await _async_complete_text(second) == COMPLETE_TEXT
@@ -238,7 +238,7 @@
         store.append("jobs", 0, encode_records([JobEnded("job-1")]))
         store.append("jobs", 0, encode_records(encode_job(make_open_job(name="job-2"), "a")))
         await asyncio.sleep(3)
-        start_offset = first.jobs.book.jobs["job-2"].texts_begin
+        start_offset = first.jobs.book.jobs["job-2"].texts_start
         assert start_offset is not None and start_offset > 0
         await first.jobs.texts.async_trim(0)
         assert store.first["texts", 0] == start_offset
