--- a/cranberryline/decisions/hedging.py
+++ b/cranberryline/decisions/hedging.py
@@ -1,44 +1,50 @@
-"""Decide when a caller's idempotent request is sent to a second upstream as well.
-
-Load answered: an upstream that crawls, or whose answer is lost on the way, in a service whose others
-are well. The caller would wait for its whole time limit: routing learns of a slow upstream only from
-answers, and of a lost answer never.
-
-A second copy goes out after `HEDGE_AFTER` of the time in which an answer is still worth its whole;
-an answer that takes as long is late already at a healthy upstream's usual time, and a copy sent
-then still arrives in time. Scoring has nobody who waits for the single answer, only a step that is due
-in seconds: its copy goes out after `SCORING_HEDGE_AFTER` of that time, when the answer is lost or its
-upstream crawls. At the callers' share one scoring request in five had a copy, and each cancelled copy
-costs its connection. A copy spends one token of `HedgeBudget`; each answer earns `HEDGE_SHARE`
-of one, up to `HEDGE_CAP`. So where the whole service is slow, copies stop after the cap, and in
-ordinary times they add at most a fifth to its load.
+"""Decide when an idempotent request is also sent to a second upstream (a hedged request).
+
+Hedging covers a single slow upstream and a lost answer: routing learns of a slow upstream only from
+its answers and never learns of a lost answer, so the caller would wait for its whole timeout.
 """
 
 from datetime import timedelta
 
 __all__ = ["HedgeBudget", "hedge_delay", "scoring_hedge_delay"]
 
-HEDGE_AFTER = 0.4
-SCORING_HEDGE_AFTER = 1.0
-HEDGE_SHARE = 0.2
-HEDGE_CAP = 8.0
-MIN_DELAY = timedelta(milliseconds=30)
+# Fraction of the latency goal after which a request is hedged. A request that takes this long is
+# already slower than the usual time of a healthy upstream, and a hedge sent now still meets the
+# goal.
+HEDGE_GOAL_FRACTION = 0.4
+# Fraction of the latency goal after which a scoring request is hedged. No caller waits for a single
+# score, only for a step that is due in seconds. At `HEDGE_GOAL_FRACTION` one scoring request in
+# five was hedged, and each cancelled hedge closes its connection.
+SCORING_HEDGE_GOAL_FRACTION = 1.0
+# Hedge tokens earned per answer: hedges add at most a fifth to the load of a healthy service.
+HEDGE_TOKENS_PER_ANSWER = 0.2
+# Most hedge tokens saved up: hedging stops after this many where the whole service is slow.
+HEDGE_BUDGET_CAPACITY = 8.0
+# Shortest time before any hedge.
+MIN_HEDGE_DELAY = timedelta(milliseconds=30)
 
 
 class HedgeBudget:
-    """Copies earned by answers."""
+    """Token bucket that limits hedged requests: answers refill it, each hedge takes one token.
+
+    The bucket starts full.
+    """
 
-    def __init__(self, share: float = HEDGE_SHARE, cap: float = HEDGE_CAP) -> None:
-        self._share = share
-        self._cap = cap
-        self._tokens = cap
+    def __init__(
+        self,
+        tokens_per_answer: float = HEDGE_TOKENS_PER_ANSWER,
+        capacity: float = HEDGE_BUDGET_CAPACITY,
+    ) -> None:
+        self._tokens_per_answer = tokens_per_answer
+        self._capacity = capacity
+        self._tokens = capacity
 
     def earn(self) -> None:
-        """Count an answer."""
-        self._tokens = min(self._cap, self._tokens + self._share)
+        """Add the tokens of one answer."""
+        self._tokens = min(self._capacity, self._tokens + self._tokens_per_answer)
 
     def spend(self) -> bool:
-        """Pay for a copy if it can be paid for."""
+        """Take one token for a hedge; return False if less than one is left."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -46,10 +52,16 @@
 
 
 def hedge_delay(goal: timedelta) -> timedelta:
-    """Return after how long without an answer a copy goes out."""
-    return max(goal * HEDGE_AFTER, MIN_DELAY)
+    """Return the time without an answer after which a request is hedged.
+
+    `goal` is the latency up to which an answer has its full value to the caller.
+    """
+    return max(goal * HEDGE_GOAL_FRACTION, MIN_HEDGE_DELAY)
 
 
 def scoring_hedge_delay(goal: timedelta) -> timedelta:
-    """Return after how long without an answer a copy of a scoring request goes out."""
-    return max(goal * SCORING_HEDGE_AFTER, MIN_DELAY)
+    """Return the time without an answer after which a scoring request is hedged.
+
+    `goal` is the latency up to which an answer has its full value.
+    """
+    return max(goal * SCORING_HEDGE_GOAL_FRACTION, MIN_HEDGE_DELAY)
--- a/cranberryline/decisions/job_placement.py
+++ b/cranberryline/decisions/job_placement.py
@@ -1,25 +1,6 @@
-"""Decide which node runs the items of a batch job's group, and when another steps in.
+"""Decide which nodes run the items of a batch job's group, and when another node takes over.
 
-Load answered: a step's items arrive at once at one node, while nodes die, freeze or lose the store
-at any moment. Run by the node that took them, a step waits for one processor and dies with it. A
-lock on each group costs a round trip for each and lapses while its holder is paused.
-
-Rendezvous hashing ranks the live nodes for each group, so every node knows without asking who is
-first. The first starts at once. The node of rank r starts as well once nothing of the group has
-ended for r times `TAKEOVER`: a group whose first node froze behind a live heartbeat is run again
-without anyone having noticed the freeze. Running an item twice is harmless, since its first
-result stands; it only costs the upstreams work.
-
-A job's groups go to a team of nodes, the first for the job's trainer by the same hashing, one node
-for each `ITEMS_A_NODE` items and two at least. Spread over all nodes, each would see too little of
-its upstreams to know that they are full; drawn anew for each job, each would find its connections
-expired and need new ones (2,236 for 5,616 requests, where each is paid for). Two nodes
-leave half a step untouched when one of them dies.
-
-A node that died, froze or lost the store stops giving signs of life, and the ranks of the others
-close up behind it within `TAKEOVER` already; the delay is for what gives signs and does not work. It
-lies above the time of an item with a long text (1 in 20 takes over 3 s): at 2.5 s a third of all
-items ran twice (62 of 40 in a step), and took the places of the others.
+Every node computes the same placement from the list of live nodes, without locks or messages.
 """
 
 from collections.abc import Collection
@@ -28,39 +9,65 @@
 from . import rendezvous
 from .const import ZERO
 
-__all__ = ["ITEMS_A_NODE", "TAKEOVER", "JobPlacement"]
+__all__ = ["ITEMS_PER_NODE", "TAKEOVER_DELAY", "JobPlacement"]
 
-TAKEOVER = timedelta(milliseconds=4500)
-ITEMS_A_NODE = 48
-_MIN_TEAM = 2
-_MAX_RANK = 3
+# Time without a result after which the next node also starts a group. A node that died, froze or
+# lost the store stops sending heartbeats and drops out of the ranking sooner; this delay covers a
+# node that sends heartbeats and does no work. It is longer than an item with a long text takes
+# (1 in 20 takes over 3 s): at 2.5 s a third of all items ran twice (62 runs for the 40 items of a
+# step) and used the slots of other items.
+TAKEOVER_DELAY = timedelta(milliseconds=4500)
+# Items of a job per assigned node. With all nodes assigned, each would see too little of its
+# upstreams to know that they are full.
+ITEMS_PER_NODE = 48
+# With two nodes, half a step is still unaffected when one of them dies.
+_MIN_ASSIGNED_NODES = 2
+# Nodes ranked lower than this for a group never start it.
+_MAX_STARTING_RANK = 3
 
 
 class JobPlacement:
-    """Where the groups of one trainer's job run while the same nodes live."""
+    """The delays after which the live nodes start the groups of one trainer's job.
+
+    A job is assigned to the nodes that rank first for its trainer by rendezvous hashing. The
+    ranking does not depend on the job, so a trainer's next job reuses the connections of the
+    previous one: with nodes drawn anew for each job, connections expire between jobs (2,236 new
+    ones for 5,616 requests, and each new connection is charged). The assigned nodes are then ranked
+    for each group. The first starts it at once; the node of rank r starts it after r times
+    `TAKEOVER_DELAY` without a result, so a group whose first node froze is run again even if
+    nothing detected that. Running an item twice only costs upstream time, since its first result is
+    kept.
+
+    Run by the node that accepted the job alone, a step would be limited to one CPU and be lost with
+    that node. A lock for each group would cost a round trip each, and would expire while its holder
+    is paused.
+    """
 
     def __init__(self, trainer: str, items: int, node: str, live: Collection[str]) -> None:
         self._node = node
         ranked = rendezvous.rank(trainer, {*live, node})
-        team = max(_MIN_TEAM, -(-items // ITEMS_A_NODE))
-        self._team, self._others = ranked[:team], ranked[team:]
+        count = max(_MIN_ASSIGNED_NODES, -(-items // ITEMS_PER_NODE))
+        self._assigned, self._others = ranked[:count], ranked[count:]
 
     @property
     def team_size(self) -> int:
-        """Return how many nodes share the job's groups."""
-        return len(self._team)
+        """Return the number of nodes that the job is assigned to."""
+        return len(self._assigned)
 
     @property
     def in_team(self) -> bool:
-        """Tell whether the node is one of those that share the job's groups."""
-        return self._node in self._team
+        """Return whether the job is assigned to this node."""
+        return self._node in self._assigned
 
     def start_delay(self, group: str) -> timedelta | None:
-        """Return after how long without a result the node starts a group, None if it never does."""
-        if self._node in self._team:
-            rank = rendezvous.rank(group, self._team).index(self._node)
+        """Return the time without a result after which this node starts a group.
+
+        Return None if this node never starts it.
+        """
+        if self._node in self._assigned:
+            rank = rendezvous.rank(group, self._assigned).index(self._node)
         else:
-            rank = len(self._team) + self._others.index(self._node)
-        if rank > _MAX_RANK:
+            rank = len(self._assigned) + self._others.index(self._node)
+        if rank > _MAX_STARTING_RANK:
             return None
-        return rank * TAKEOVER if rank else ZERO
+        return rank * TAKEOVER_DELAY if rank else ZERO
--- a/cranberryline/decisions/rendezvous.py
+++ b/cranberryline/decisions/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rank members for a key by rendezvous hashing.
+"""Rank members for a key by rendezvous (highest random weight) hashing.
 
-Load answered: members that come and go. Every process ranks the members of a key alike without
-talking to the others, and when a member leaves only the keys that stood on it move.
+All processes compute the same ranking without communicating, and when a member leaves only the keys
+that it ranked first for are reassigned.
 """
 
 from collections.abc import Iterable
@@ -13,16 +13,16 @@
 
 
 def score(key: str, member: str) -> int:
-    """Return the weight of a member for a key."""
+    """Return the hash weight of a member for a key, an unsigned integer of `SCORE_BYTES` bytes."""
     digest = blake2b(f"{len(key)}:{key}{member}".encode(), digest_size=SCORE_BYTES)
     return int.from_bytes(digest.digest())
 
 
-def rank(key: str, ids: Iterable[str]) -> list[str]:
-    """Return all members, the first choice for the key first."""
-    return sorted(ids, key=lambda member: (score(key, member), member), reverse=True)
+def rank(key: str, members: Iterable[str]) -> list[str]:
+    """Return the members in descending order of their weight for the key."""
+    return sorted(members, key=lambda member: (score(key, member), member), reverse=True)
 
 
-def top(key: str, ids: Iterable[str]) -> str | None:
-    """Return the first choice for the key, or None without members."""
-    return max(ids, key=lambda member: (score(key, member), member), default=None)
+def top(key: str, members: Iterable[str]) -> str | None:
+    """Return the member with the highest weight for the key, or None if there are no members."""
+    return max(members, key=lambda member: (score(key, member), member), default=None)
--- a/cranberryline/decisions/rollout.py
+++ b/cranberryline/decisions/rollout.py
@@ -1,38 +1,7 @@
-"""Decide which samples a trainer's steps start, and what becomes of the stragglers.
-
-Load answered: trainers that wait for a whole step, samples of very unlike length, upstreams that
-crawl or stall, and weights that change every few minutes. Starting a step's groups only when the
-trainer is ready leaves it idle for as long as the longest sample takes. Starting everything that is
-declared makes samples that are stale when received. Waiting for one stalled sample stalls the whole
-step.
-
-Staleness of a sample is known when it starts: a step is taken when the trainer reaches the version
-that it is taken at, and the sample's oldest segment has the version that the samplers serve now. So
-`start` never starts a sample that is expected to miss the bound.
-
-`freshness` is the one setting between trainer idle time and staleness: the mean staleness that a
-step may have when received is `(1 - freshness) * staleness_bound`. At 1 nothing starts before the
-weights that its step is taken at; at 0 everything starts as early as the bound allows. Between them
-the allowance goes to the samples that are expected to take longest, because they alone decide when
-the step is whole: a sample that takes `d` and starts `k` versions early makes the trainer wait `d -
-k * step_time`, so the least wait for an allowance gives each sample the smallest `k` that brings it
-under one common wait (`_common_wait`); what that leaves of the allowance goes to the most urgent. No more is started than there is room for: a sample that
-waits at a sampler holds a place and starts no earlier.
-
-Stragglers: a sample that would be late is continued elsewhere, from the tokens received, when that
-is expected to be `MOVE_GAIN` times faster and to save at least `MIN_SAVING`. One that would be in
-time even if it were moved `MOVE_MARGIN` later is left, for its upstream may recover by itself. The
-cost is one prefill, no token is thrown away. One that has brought no token at all in `STALL_BOUND`
-times the typical first-token time is started a second time beside the first (hedged), for it may
-only wait in a queue. A move needs room elsewhere, for a sample that is moved into a queue stalls
-again; early starts leave `MOVE_RESERVE` of the slots free for it. At most `MOVE_SHARE` of what is
-in flight is moved in one round, so that a slowdown of everything, in which no move helps, does not
-become a storm of prefills.
-
-Other thresholds: `MIN_STALL` is longer than the second or two for which a swap to new weights stops
-an engine; `MIN_RUN` is the time in which a sample's pace can be told from a slow start; lengths are
-taken times `TAIL_FACTOR`, since the longest of a group decides and an early start that was not
-needed costs less than a late one (values from 1 to 4 are compared in docs/POLICY.md).
+"""Decide which samples a trainer's steps start, and what to do about stragglers.
+
+A trainer waits for whole steps, sample lengths vary widely, upstreams slow down or stall, and the
+weights change every few minutes.
 """
 
 import enum
@@ -58,33 +27,53 @@
 ]
 
 DEFAULT_FRESHNESS = 0.5
-DEFAULT_STALENESS_BOUND = 2
-MOVE_GAIN = 1.5
-MIN_SAVING = timedelta(seconds=2)
-MOVE_SHARE = 0.1
-MOVE_RESERVE = 0.15
-STALL_BOUND = 4
-MIN_STALL = timedelta(seconds=5)
-MIN_RUN = timedelta(seconds=8)
+DEFAULT_STALENESS_BOUND = 2  # versions
+# A straggler is resumed elsewhere only if that is this many times faster and saves this much time.
+MIN_MOVE_SPEEDUP = 1.5
+MIN_MOVE_SAVING = timedelta(seconds=2)
+# Largest fraction of the samples in flight that is moved in one round, so that a slowdown of all
+# upstreams, where moving does not help, does not cause a storm of prefills.
+MAX_MOVE_FRACTION = 0.1
+# Fraction of the slots that early starts leave free for moves: a sample moved into a queue stalls
+# again.
+MOVE_SLOT_FRACTION = 0.15
+# A sample is stalled after this many times the typical first-token time without progress.
+STALL_FACTOR = 4
+# Longer than the second or two for which a swap to new weights stops an engine.
+MIN_STALL_TIME = timedelta(seconds=5)
+# Running time after which a sample's token rate can be told from a slow start.
+MIN_RUN_TIME = timedelta(seconds=8)
 MAX_COPIES = 2
-MOVE_MARGIN = timedelta(seconds=10)
-RESIDUAL_SHARE = 0.5
+# A straggler that could be moved this much later and still be in time is left where it is, since
+# its upstream may recover.
+MOVE_DEADLINE_MARGIN = timedelta(seconds=10)
+# Expected remainder of a sample that is longer than estimated, as a fraction of its length so far.
+OVERRUN_FRACTION = 0.5
+# Factor on expected lengths: the longest sample of a group decides, and an early start that was not
+# needed costs less than a late one.
 TAIL_FACTOR = 3.0
 WAIT_BISECTIONS = 12
-NEVER = 10**9
+# Versions early of a start that would exceed the staleness bound; no allowance covers it.
+UNAFFORDABLE_VERSIONS = 10**9
 
 
 class StragglerAction(enum.StrEnum):
-    """What becomes of a sample in flight."""
+    """What to do with a straggler."""
 
-    RESUME = "resume"  # cancel it there, continue elsewhere from the tokens received
-    HEDGE = "hedge"  # start it elsewhere too; the first that is whole counts
-    GIVE_UP = "give_up"  # it would be too stale; cancel it and make its place again
+    RESUME = "resume"  # cancel it and continue elsewhere from the tokens received
+    HEDGE = "hedge"  # start a second copy elsewhere; the first to complete counts
+    GIVE_UP = "give_up"  # too stale: cancel it and generate a replacement
 
 
 @attrs.frozen
 class RolloutSettings:
-    """What an operator sets for a trainer."""
+    """Operator settings for a trainer.
+
+    `staleness_bound` is in versions. `freshness`, from 0 to 1, trades trainer idle time for
+    staleness: the mean staleness of a step when the trainer receives it is at most `(1 - freshness)
+    * staleness_bound`. At 1 no sample starts before the weights that its step is trained at are
+    served; at 0 every sample starts as early as the bound allows.
+    """
 
     freshness: float = DEFAULT_FRESHNESS
     staleness_bound: int = DEFAULT_STALENESS_BOUND
@@ -92,7 +81,7 @@
 
 @attrs.frozen
 class GroupView:
-    """A group with `samples` that are not started; `expected_tokens` is of one sample."""
+    """A group with `samples` not yet started, of `expected_tokens` each."""
 
     id: str
     step: int
@@ -102,7 +91,7 @@
 
 @attrs.frozen
 class StepView:
-    """How many samples a step has, and how many versions early those in being were started."""
+    """A step's number of samples, and the sum of the versions by which started ones were early."""
 
     samples: int
     versions_early: int
@@ -110,7 +99,11 @@
 
 @attrs.frozen
 class SampleView:
-    """A sample in flight; `version` is its oldest segment's, or its sampler's before the first."""
+    """A sample in flight.
+
+    `version` is that of its oldest segment, or that of its sampler before the first segment.
+    `running` and `since_progress` are the times since its start and since its last token.
+    """
 
     id: str
     step: int
@@ -125,10 +118,13 @@
 
 @attrs.frozen
 class RolloutView:
-    """A trainer's work as its owner sees it.
+    """A trainer's work as seen by the entry that owns the trainer.
 
-    The trainer takes `next_step` next, at version `version_at_pull`, in about `until_pull`.
-    `sample_tokens_per_second` and `first_token` are typical (median) of samples in flight.
+    The trainer pulls `next_step` next, at version `version_at_pull`, in about `until_pull`, and
+    `step_time` is the time between two pulls. The samplers serve `sampler_version`, and `room` is
+    how many samples they can start without queueing. `sample_tokens_per_second` and `first_token`
+    (the time to the first token) are medians of the samples in flight. `waiting` are the groups
+    with samples not yet started.
     """
 
     next_step: int
@@ -146,7 +142,7 @@
 
 @attrs.frozen
 class StartSamples:
-    """Start that many samples of a group, on a sampler that serves `min_version` or newer."""
+    """Start `samples` of a group on samplers that serve `min_version` or newer."""
 
     group: str
     samples: int
@@ -155,7 +151,7 @@
 
 @attrs.frozen
 class StragglerDecision:
-    """Do something about a sample in flight."""
+    """The action for one sample in flight."""
 
     sample: str
     action: StragglerAction
@@ -163,7 +159,7 @@
 
 @attrs.frozen
 class RolloutPlan:
-    """What to do now, in this order."""
+    """What to do now: first the stragglers, then the starts."""
 
     stragglers: tuple[StragglerDecision, ...] = ()
     start: tuple[StartSamples, ...] = ()
@@ -171,42 +167,63 @@
 
 @attrs.frozen
 class RolloutPolicy:
-    """Start and straggler rules of one trainer."""
+    """Decides on starts and stragglers of one trainer.
+
+    Starting a step's groups only when the trainer is ready leaves it idle for as long as the
+    longest sample takes; starting all declared groups makes samples that are stale when received;
+    and one stalled sample stalls its whole step.
+    """
 
     settings: RolloutSettings = RolloutSettings()
 
     def plan(self, view: RolloutView) -> RolloutPlan:
-        """Return what to do now."""
+        """Return what to do now; moved stragglers take their slots before new samples."""
         stragglers = self.stragglers(view)
         moved = sum(decision.action is not StragglerAction.GIVE_UP for decision in stragglers)
         return RolloutPlan(stragglers, self.start(view, view.room - moved))
 
     def start(self, view: RolloutView, room: int) -> tuple[StartSamples, ...]:
-        """Return the samples to start within the room, the most urgent first."""
-        reserve = int((len(view.in_flight) + view.room) * MOVE_RESERVE)
+        """Return the samples to start in `room` free slots, the most urgent first.
+
+        A sample's staleness is known at its start: its step is pulled at an expected version, and
+        its oldest segment has the version that the samplers serve now. A sample that is expected to
+        exceed the staleness bound is not started, and neither is one without a free slot: queued at
+        a sampler it would start no earlier.
+
+        The allowance of early starts goes to the samples that take longest, since they decide when
+        the step is complete. A sample that takes `d` and starts `k` versions early makes the
+        trainer wait `d - k * step_time`, so the allowance is best spent by giving each sample the
+        smallest `k` that keeps it within one common wait (`_common_wait`). What is left of the
+        allowance goes to the most urgent samples.
+        """
+        reserve = int((len(view.in_flight) + view.room) * MOVE_SLOT_FRACTION)
         waits: dict[int, float] = {}
-        spare: dict[int, int] = {}
+        unspent: dict[int, int] = {}
         starts = []
-        for group in sorted(view.waiting, key=lambda group: (_slack(view, group), group.id)):
+        for group in sorted(view.waiting, key=lambda group: (_latest_start(view, group), group.id)):
             if room <= 0:
                 break
             if group.step not in waits:
                 waits[group.step] = wait = self._common_wait(view, group.step)
-                spare[group.step] = self._spare(view, group.step, wait)
+                unspent[group.step] = self._unspent(view, group.step, wait)
             early = _staleness(view, group.step, view.sampler_version) > 0
             count = min(group.samples, room - reserve if early else room)
-            extra = self._extra_versions(view, group, waits[group.step])
+            extra = self._excess_versions(view, group, waits[group.step])
             if extra > 0:
-                count = min(count, spare[group.step] // extra)
+                count = min(count, unspent[group.step] // extra)
             if count <= 0:
                 continue
-            spare[group.step] -= max(0, extra) * count
+            unspent[group.step] -= max(0, extra) * count
             room -= count
             starts.append(StartSamples(group.id, count, view.sampler_version))
         return tuple(starts)
 
     def stragglers(self, view: RolloutView) -> tuple[StragglerDecision, ...]:
-        """Return what becomes of samples in flight that are too stale or too slow."""
+        """Return the actions for samples in flight that are too stale or too slow.
+
+        Resuming a sample elsewhere costs one prefill and discards no token. A stalled sample
+        without any token is hedged instead, since it may only be queued.
+        """
         decisions = [
             StragglerDecision(sample.id, StragglerAction.GIVE_UP)
             for sample in view.in_flight
@@ -216,45 +233,55 @@
         slow = [
             (saving, sample)
             for sample in view.in_flight
-            if sample.id not in given_up and (saving := _saving(view, sample)) >= MIN_SAVING
+            if sample.id not in given_up and (saving := _saving(view, sample)) >= MIN_MOVE_SAVING
         ]
         slow.sort(key=lambda pair: (-pair[0], pair[1].id))
-        moves = min(view.room, max(1, int(len(view.in_flight) * MOVE_SHARE)))
-        decisions += [StragglerDecision(sample.id, _move(sample)) for _, sample in slow[:moves]]
+        moves = min(view.room, max(1, int(len(view.in_flight) * MAX_MOVE_FRACTION)))
+        decisions += [
+            StragglerDecision(sample.id, _straggler_action(sample)) for _, sample in slow[:moves]
+        ]
         return tuple(decisions)
 
-    def _extra_versions(self, view: RolloutView, group: GroupView, wait: float) -> int:
-        """Return how much earlier than its part of the allowance a start now would be."""
+    def _excess_versions(self, view: RolloutView, group: GroupView, wait: float) -> int:
+        """Return by how many versions a start now is earlier than the common wait requires."""
         staleness = _staleness(view, group.step, view.sampler_version)
         if staleness > self.settings.staleness_bound:
-            return NEVER
+            return UNAFFORDABLE_VERSIONS
         return staleness - self._versions_early(view, _tail_seconds(view, group), wait)
 
-    def _spare(self, view: RolloutView, step: int, wait: float) -> int:
-        """Return what the common wait leaves of the allowance.
+    def _unspent(self, view: RolloutView, step: int, wait: float) -> int:
+        """Return what the starts required by the common wait leave of the allowance, in versions.
 
-        Where groups are expected to take equally long, as when nothing is known of them, no wait
-        parts them: all would start later than the allowance permits, and the trainer would wait.
+        If all groups are expected to take equally long, as with unknown lengths, no common wait
+        separates them. Without the remainder, all would start later than the allowance permits and
+        the trainer would wait.
         """
         groups = [
             (_tail_seconds(view, group), group.samples)
             for group in view.waiting
             if group.step == step
         ]
-        return max(0, int(self._allowance(view, step) - self._cost(view, groups, wait)))
+        return max(
+            0, int(self._allowance(view, step) - self._total_versions_early(view, groups, wait))
+        )
 
     def _allowance(self, view: RolloutView, step: int) -> float:
+        """Return how many versions early, summed over samples, the step may still start samples."""
         mean = (1.0 - self.settings.freshness) * self.settings.staleness_bound
         return mean * view.steps[step].samples - view.steps[step].versions_early
 
     def _versions_early(self, view: RolloutView, seconds: float, wait: float) -> int:
+        """Return how many versions early a sample has to start.
+
+        The sample takes `seconds`, and the trainer is to wait at most `wait` seconds for it.
+        """
         if seconds <= wait:
             return 0
         step_seconds = view.step_time.total_seconds()
         return min(self.settings.staleness_bound, ceil((seconds - wait) / step_seconds))
 
     def _common_wait(self, view: RolloutView, step: int) -> float:
-        """Return the shortest wait whose early starts the step's allowance still covers."""
+        """Return the shortest trainer wait, in seconds, whose early starts the allowance covers."""
         groups = [
             (_tail_seconds(view, group), group.samples)
             for group in view.waiting
@@ -263,34 +290,39 @@
         allowance = self._allowance(view, step)
         shortest = -view.step_time.total_seconds() * self.settings.staleness_bound
         longest = max(seconds for seconds, _ in groups)
-        if self._cost(view, groups, shortest) <= allowance:
+        if self._total_versions_early(view, groups, shortest) <= allowance:
             return shortest
         for _ in range(WAIT_BISECTIONS):
             middle = (shortest + longest) / 2
-            if self._cost(view, groups, middle) <= allowance:
+            if self._total_versions_early(view, groups, middle) <= allowance:
                 longest = middle
             else:
                 shortest = middle
         return longest
 
-    def _cost(self, view: RolloutView, groups: Sequence[tuple[float, int]], wait: float) -> int:
+    def _total_versions_early(
+        self, view: RolloutView, groups: Sequence[tuple[float, int]], wait: float
+    ) -> int:
+        """Return the versions early, summed over samples, that the wait requires."""
         return sum(
             samples * self._versions_early(view, seconds, wait) for seconds, samples in groups
         )
 
 
-def _slack(view: RolloutView, group: GroupView) -> float:
-    """Return the seconds that may pass before the group must start to be there in time."""
+def _latest_start(view: RolloutView, group: GroupView) -> float:
+    """Return the latest start of the group that completes it in time, in seconds from now."""
     steps = group.step - view.next_step
     needed = view.until_pull.total_seconds() + steps * view.step_time.total_seconds()
     return needed - _tail_seconds(view, group)
 
 
 def _tail_seconds(view: RolloutView, group: GroupView) -> float:
+    """Return the expected duration of the group's longest sample."""
     return _duration(view, group.expected_tokens * TAIL_FACTOR).total_seconds()
 
 
 def _staleness(view: RolloutView, step: int, version: int) -> int:
+    """Return how many versions old a sample of `version` will be when its step is pulled."""
     return view.version_at_pull + (step - view.next_step) - version
 
 
@@ -301,20 +333,24 @@
 
 
 def _remaining_tokens(sample: SampleView) -> float:
-    # A sample that outgrew its estimate is expected to go on for a part of what it has.
-    return max(sample.expected_tokens - sample.tokens_done, RESIDUAL_SHARE * sample.tokens_done)
+    """Return the expected number of tokens that the sample still lacks."""
+    return max(sample.expected_tokens - sample.tokens_done, OVERRUN_FRACTION * sample.tokens_done)
 
 
 def _saving(view: RolloutView, sample: SampleView) -> timedelta:
-    """Return how much earlier the sample is expected to end elsewhere, or 0 if not worthwhile."""
-    if sample.copies >= MAX_COPIES or sample.running < MIN_RUN:
+    """Return how much earlier the sample is expected to end elsewhere, or 0 to leave it."""
+    if sample.copies >= MAX_COPIES or sample.running < MIN_RUN_TIME:
         return ZERO
     left = _remaining_tokens(sample)
     elsewhere = _duration(view, left)
     needed = view.until_pull + view.step_time * (sample.step - view.next_step)
     here = _expected_here(view, sample, left, elsewhere)
-    # While it would still be there in time after a later move, its upstream may yet recover.
-    if here <= needed or needed > elsewhere + MOVE_MARGIN or here < elsewhere * MOVE_GAIN:
+    # A sample that a later move would still complete in time stays: its upstream may recover.
+    if (
+        here <= needed
+        or needed > elsewhere + MOVE_DEADLINE_MARGIN
+        or here < elsewhere * MIN_MOVE_SPEEDUP
+    ):
         return ZERO
     return here - elsewhere
 
@@ -322,12 +358,14 @@
 def _expected_here(
     view: RolloutView, sample: SampleView, left: float, elsewhere: timedelta
 ) -> timedelta:
-    if sample.since_progress > max(view.first_token * STALL_BOUND, MIN_STALL):
-        return elsewhere * MOVE_GAIN + MIN_SAVING + sample.since_progress
+    """Return the expected time until the sample ends at its current upstream, or 0 if unknown."""
+    # A stalled sample always passes the thresholds for a move; the longest stalled is moved first.
+    if sample.since_progress > max(view.first_token * STALL_FACTOR, MIN_STALL_TIME):
+        return elsewhere * MIN_MOVE_SPEEDUP + MIN_MOVE_SAVING + sample.since_progress
     if sample.tokens_per_second <= 0:
         return ZERO
     return timedelta(seconds=left / sample.tokens_per_second)
 
 
-def _move(sample: SampleView) -> StragglerAction:
+def _straggler_action(sample: SampleView) -> StragglerAction:
     return StragglerAction.RESUME if sample.tokens_done else StragglerAction.HEDGE
--- a/cranberryline/decisions/routing.py
+++ b/cranberryline/decisions/routing.py
@@ -1,36 +1,6 @@
-"""Choose the upstream for a request.
-
-Load answered: upstreams of unlike speed, load reports that lag, and prompts that share prefixes.
-Random or round-robin choice sends a slow upstream as much as a fast one, and its callers wait.
-Following the reports alone goes wrong in herds: every entry sees the same idle upstream until the
-next report. Following the prefix cache alone sends a popular prefix to one upstream.
-
-The measure is the expected time until this request is done there: its own tokens at the pace of one
-request, after the tokens outstanding there at that pace on all slots. Where a slot is free nothing
-has to be waited for, and what is outstanding counts only for `SHARING_COST`, since the batch is
-shared with it. The pace is measured (see `pace`) and comes with the load report. Own outstanding
-tokens count in full: they are known. What a report shows beyond them is the work of other entries;
-it counts in full when fresh and half after `REPORT_HALF_LIFE`, about the time in which an engine
-turns over its work. Of `SAMPLE_SIZE` upstreams drawn at random the best is taken, so that entries
-that see the same reports do not all choose the same upstream; own counts alone would allow the best
-of all.
-
-Prefix affinity: the first upstream by rendezvous hash of the prefix key is expected to hold the
-prefix, and its expected time is less by the work that this saves. So affinity never makes a request
-wait longer than it saves, and a prefix that is too popular spills to the others by itself. Where no
-slot is free there affinity counts for nothing: what a caller waits for in a full upstream is its
-own turn, and callers with few prefixes would all queue at one upstream each. One upstream a prefix,
-for with two each cache has to hold twice as many (measured: load "many prefixes" in
-docs/POLICY.md).
-
-Connections: where each of many entries has few requests for a service, and sends each to another upstream, its kept
-connections expire between them and nearly every request opens a new one. For a short request an upstream to which a
-connection waits is always among the drawn and counts as faster by `CONNECTED_SAVING`, while it has a free slot; one that
-is slower than others by more than that loses its requests.
-
-An upstream that drains, is excluded, or serves too old weights is not chosen, one that turned work away just now
-(`turned_away`) only where all others did, too. One that is drawn
-down by `health` counts as slower by its weight; a due probe goes first, as one request.
+"""Choose the upstream for a request: the one with the shortest expected time to completion.
+
+Upstreams differ in speed, load reports lag behind, and prompts share cached prefixes.
 """
 
 from collections.abc import Sequence
@@ -48,13 +18,24 @@
 
 __all__ = ["RouteRequest", "RoutingPolicy", "UpstreamView", "free_slots"]
 
+# Age at which the load in a report counts half: about the time in which an engine turns over its
+# work.
 REPORT_HALF_LIFE = timedelta(seconds=2)
+# Upstreams drawn at random for each request. Entries that see the same reports would otherwise all
+# choose the same upstream; with own counts alone the best of all could be chosen.
 SAMPLE_SIZE = 4
+# Upstreams expected to cache a prefix. With two per prefix each cache has to hold twice as many.
 AFFINITY_CHOICES = 1
-FAR_PENALTY = 0.05
-SLOW_SHARE = 0.5
-SHARING_COST = 0.25
-CONNECTED_SAVING = 0.25
+# Fraction added to the expected time in another data centre.
+OTHER_DATA_CENTER_PENALTY = 0.05
+# Fraction of the typical rate below which an upstream's slots do not count as free.
+SLOW_RATE_FRACTION = 0.5
+# Weight of the outstanding work where a slot is free: the request does not queue, but shares the
+# batch.
+BATCH_SHARING_WEIGHT = 0.25
+# Fraction taken off the expected time of a short request where a kept connection is idle.
+CONNECTION_REUSE_DISCOUNT = 0.25
+# Rate of a single request, where no upstream has a recent measurement.
 FALLBACK_TOKENS_PER_SECOND = 50.0
 
 
@@ -62,7 +43,10 @@
 class UpstreamView:
     """An upstream as one entry sees it.
 
-    `tokens_per_second` is the pace of one request; 0 means that there is no recent measurement.
+    The `own` counts are this entry's outstanding work; the `reported` ones come from the load
+    report of `report_age` and include all entries. `tokens_per_second` is the measured rate of a
+    single request, or 0 without a recent measurement. `connected` means that a kept connection is
+    idle. `resting` means that the upstream has just rejected a request without running it.
     """
 
     id: str
@@ -83,9 +67,10 @@
 
 @attrs.frozen
 class RouteRequest:
-    """A request as routing sees it; `prefix_tokens` of its `tokens` are saved by a cached prefix.
+    """A request as routing sees it.
 
-    A `short` one takes so little time that a new connection counts beside it.
+    A cached prefix saves `prefix_tokens` of its `tokens`. `short` means that opening a connection
+    takes a noticeable part of the request's time. `may_probe` allows sending it as a health probe.
     """
 
     tokens: int
@@ -101,7 +86,12 @@
 
 @attrs.frozen
 class RoutingPolicy:
-    """Routing by expected time, with bounded affinity."""
+    """Routes by expected time to completion, with bounded prefix and connection affinity.
+
+    Random or round-robin choice sends a slow upstream as much as a fast one. Following load reports
+    alone sends all entries to the same idle upstream until its next report. Following the prefix
+    cache alone overloads the upstream of a popular prefix.
+    """
 
     sample_size: int = SAMPLE_SIZE
     affinity_choices: int = AFFINITY_CHOICES
@@ -110,62 +100,97 @@
     def choose(
         self, upstreams: Sequence[UpstreamView], req: RouteRequest, rng: Random
     ) -> str | None:
-        """Return the id of the upstream to send to, or None when none may be chosen."""
-        usable = [upstream for upstream in upstreams if _is_usable(upstream, req)]
-        usable = [upstream for upstream in usable if not upstream.resting] or usable
+        """Return the id of the upstream to send to, or None if none is eligible.
+
+        Upstreams that drain, are excluded or serve older weights than required are not eligible. An
+        upstream that has just rejected work is chosen only if all others have, too. A probe that is
+        due goes first, as one request.
+        """
+        eligible = [upstream for upstream in upstreams if _is_eligible(upstream, req)]
+        eligible = [upstream for upstream in eligible if not upstream.resting] or eligible
         if req.may_probe:
-            probes = [upstream.id for upstream in usable if upstream.health.probe_due]
+            probes = [upstream.id for upstream in eligible if upstream.health.probe_due]
             if probes:
                 return rng.choice(probes)
-        healthy = [upstream for upstream in usable if upstream.health.weight > 0]
+        healthy = [upstream for upstream in eligible if upstream.health.weight > 0]
         if not healthy:
             return None
         rate = _typical_rate(healthy)
-        preferred = self._preferred(healthy, req)
-        drawn = rng.sample(healthy, min(self.sample_size, len(healthy)))
+        expected_cached = self._expected_cached(healthy, req)
+        candidates = rng.sample(healthy, min(self.sample_size, len(healthy)))
         connected = self._connected(healthy, req)
-        drawn += [upstream for upstream in (*preferred, *connected) if upstream not in drawn]
-        cached = attrs.evolve(req, tokens=max(0, req.tokens - req.prefix_tokens))
+        candidates += [
+            upstream for upstream in (*expected_cached, *connected) if upstream not in candidates
+        ]
+        with_cached_prefix = attrs.evolve(req, tokens=max(0, req.tokens - req.prefix_tokens))
 
         def cost(upstream: UpstreamView) -> float:
-            work = cached if upstream in preferred else req
+            work = with_cached_prefix if upstream in expected_cached else req
             seconds = self.expected_seconds(upstream, work, rate)
-            return seconds * (1 - CONNECTED_SAVING * (upstream in connected))
+            return seconds * (1 - CONNECTION_REUSE_DISCOUNT * (upstream in connected))
 
-        return min(drawn, key=cost).id
+        return min(candidates, key=cost).id
 
     def expected_seconds(self, upstream: UpstreamView, req: RouteRequest, rate: float) -> float:
-        """Return the time in which the upstream would be done with the request, roughly."""
-        pace = (upstream.tokens_per_second or rate) * upstream.health.weight
+        """Return the approximate time in which the upstream would complete the request.
+
+        This is the time for the request's own tokens at the rate of a single request, after the
+        tokens outstanding there at that rate on all slots. `rate` is used for an upstream without a
+        measurement. The health weight of a failing upstream lowers its rate.
+        """
+        rate_there = (upstream.tokens_per_second or rate) * upstream.health.weight
         ahead = self._outstanding_tokens(upstream) / max(upstream.slots, 1)
         if self._has_slot(upstream, req):
-            ahead *= SHARING_COST
-        far = bool(req.data_center) and upstream.data_center != req.data_center
-        return (req.tokens + ahead) / pace * (1 + FAR_PENALTY * far)
+            ahead *= BATCH_SHARING_WEIGHT
+        other_data_center = bool(req.data_center) and upstream.data_center != req.data_center
+        return (
+            (req.tokens + ahead) / rate_there * (1 + OTHER_DATA_CENTER_PENALTY * other_data_center)
+        )
 
     def _outstanding_tokens(self, upstream: UpstreamView) -> float:
+        """Return the estimated outstanding tokens.
+
+        Own tokens are known and count in full; those of other entries by the age of the report.
+        """
         others = max(0, upstream.reported_tokens - upstream.own_tokens)
-        return upstream.own_tokens + self._trust(upstream) * others
+        return upstream.own_tokens + self._report_weight(upstream) * others
 
     def _has_slot(self, upstream: UpstreamView, req: RouteRequest) -> bool:
         others = max(0, upstream.reported_requests - upstream.own_requests)
-        taken = upstream.own_requests + self._trust(upstream) * others
-        return taken + 1 <= max_slots_for_class(upstream.slots, req.priority)
+        in_use = upstream.own_requests + self._report_weight(upstream) * others
+        return in_use + 1 <= max_slots_for_class(upstream.slots, req.priority)
 
-    def _trust(self, upstream: UpstreamView) -> float:
+    def _report_weight(self, upstream: UpstreamView) -> float:
+        """Return the weight of the upstream's load report: 1 if fresh, halved per half-life."""
         if upstream.report_age is None:
             return 0.0
         return 0.5 ** (max(upstream.report_age, ZERO) / self.report_half_life)
 
-    def _preferred(self, healthy: Sequence[UpstreamView], req: RouteRequest) -> list[UpstreamView]:
+    def _expected_cached(
+        self, healthy: Sequence[UpstreamView], req: RouteRequest
+    ) -> list[UpstreamView]:
+        """Return the upstreams that should have the request's prefix cached.
+
+        They are the first by rendezvous hashing of the prefix key. Their expected time is reduced
+        only by the work that the cache saves, so requests with a popular prefix overflow to other
+        upstreams. Without a free slot an upstream gets no preference: the request would wait for a
+        slot in any case, and callers with few prefixes would all queue at one upstream each.
+        """
         if req.prefix_key is None or not req.prefix_tokens:
             return []
         by_id = {upstream.id: upstream for upstream in healthy}
         ranked = rendezvous.rank(req.prefix_key, by_id)
-        preferred = [by_id[member] for member in ranked[: self.affinity_choices]]
-        return [upstream for upstream in preferred if self._has_slot(upstream, req)]
+        expected_cached = [by_id[member] for member in ranked[: self.affinity_choices]]
+        return [upstream for upstream in expected_cached if self._has_slot(upstream, req)]
 
     def _connected(self, healthy: Sequence[UpstreamView], req: RouteRequest) -> list[UpstreamView]:
+        """Return the upstreams where a short request can reuse a kept connection.
+
+        They are always among the candidates. With few requests at each of many entries, spread over
+        all upstreams, kept connections would expire in between and nearly every request would open
+        a new one. An upstream slower than others by more than `CONNECTION_REUSE_DISCOUNT` loses its
+        requests.
+        """
         if not req.short:
             return []
         return [up for up in healthy if up.connected and self._has_slot(up, req)]
@@ -174,26 +199,26 @@
 def free_slots(upstreams: Sequence[UpstreamView], min_version: int | None = None) -> int:
     """Return how many samples may be started without waiting for a slot.
 
-    A slot on an upstream that crawls does not count: a sample sent there is a straggler at once,
-    and one that is kept from there waits in the queue of another.
+    A slot on a slow upstream does not count: a sample sent there would become a straggler, and one
+    that routing keeps away from it would wait in another upstream's queue.
     """
     req = RouteRequest(tokens=0, min_weight_version=min_version)
-    usable = [u for u in upstreams if _is_usable(u, req) and u.health.weight > 0]
-    if not usable:
+    eligible = [u for u in upstreams if _is_eligible(u, req) and u.health.weight > 0]
+    if not eligible:
         return 0
-    slow = SLOW_SHARE * _typical_rate(usable)
+    slow = SLOW_RATE_FRACTION * _typical_rate(eligible)
     return sum(
         max(
             0,
             max_slots_for_class(u.slots, Priority.TRAINER)
             - max(u.own_requests, u.reported_requests),
         )
-        for u in usable
+        for u in eligible
         if not 0 < u.tokens_per_second < slow
     )
 
 
-def _is_usable(upstream: UpstreamView, req: RouteRequest) -> bool:
+def _is_eligible(upstream: UpstreamView, req: RouteRequest) -> bool:
     if upstream.draining or upstream.id in req.excluded or not upstream.health.usable:
         return False
     if req.min_weight_version is None:
--- a/cranberryline/decisions/scoring.py
+++ b/cranberryline/decisions/scoring.py
@@ -1,28 +1,29 @@
-"""Decide how many scoring requests a node may have under way at a plain service.
+"""Decide how many scoring requests a node may have in flight at a plain HTTP service.
 
-Load answered: the items of a step end together, and each then asks for its score at the service that
-also answers callers who wait. Sent at once they fill every place of the service for a second, and a
-caller's request waits behind fifty of them. Priorities do not help: the service knows none, and the
-requests of one node do not see those of another.
-
-Scoring takes `SCORING_SHARE` of the service's places, split by the parts that nodes have in the jobs of
-the moment: who runs the items of two trainers scores for two. What is left is ten times what
-callers use at the peak of the deployments we know. With half, a node with three trainers'
-items scored them in up to 5 s, most of the time that a step has.
+The items of a step end together and ask for their scores at once, at a service that also answers
+interactive callers. The service has no priorities, so without a limit a caller's request queues
+behind fifty scoring requests.
 """
 
 import math
 
-__all__ = ["SCORING_SHARE", "scoring_places"]
+__all__ = ["MAX_SCORING_FRACTION", "scoring_places"]
 
-SCORING_SHARE = 0.7
+# Fraction of a service's concurrency that scoring may use. The rest is ten times what callers use
+# at the peak of the known deployments. With half, a node with the items of three trainers took up
+# to 5 s to score them, most of the time that a step has.
+MAX_SCORING_FRACTION = 0.7
 
 
-def scoring_places(places: int, own_parts: int, all_parts: int) -> int:
-    """Return how many scoring requests a node may have at a service with `places`.
+def scoring_places(concurrency: int, own_assignments: int, all_assignments: int) -> int:
+    """Return how many scoring requests a node may have in flight at a service, at least 1.
 
-    A part is one trainer's job at one node of its team.
+    `concurrency` is the number of requests that the service runs at once. Scoring's share of it is
+    split by assignments, each of one trainer's job to one node: a node that runs the items of two
+    trainers gets the scoring requests of two.
     """
-    if all_parts <= 0:
-        return max(1, math.ceil(places * SCORING_SHARE))
-    return max(1, math.ceil(places * SCORING_SHARE * max(own_parts, 1) / all_parts))
+    if all_assignments <= 0:
+        return max(1, math.ceil(concurrency * MAX_SCORING_FRACTION))
+    return max(
+        1, math.ceil(concurrency * MAX_SCORING_FRACTION * max(own_assignments, 1) / all_assignments)
+    )
--- a/cranberryline/decisions/version_placement.py
+++ b/cranberryline/decisions/version_placement.py
@@ -1,23 +1,7 @@
-"""Decide which engines of a service load which version of which model, and which wait for the next.
-
-Load answered: several trainers share a service's engines, and each names a version every few
-seconds, just when it asks for its next step. Loading every version everywhere takes every engine
-away for a second at the start of every step, and what is loaded and thrown away unused is paid
-for: with three models on five engines two thirds of all loads.
-
-Each version is loaded on an equal part of the engines for each model, rounded up: `part`. A trainer
-that allows samples of `lag` versions before the named one leaves a choice of which. Its model is
-served by twice as many engines, or by all: one half loads a version, and the other, with the one
-before, serves the step meanwhile; at the next version they change parts. So an engine loads every
-second version only, and half as many orders and loads are paid for as with all engines in step. Engines
-too old to serve anything always load, the oldest first. A trainer that allows no lag needs all its
-engines moved, and its model then gets one part of them. Engines with the fewest models so far are taken first, among those the
-model's own order by rendezvous hash, so a lost engine moves few models.
-
-Few loads run at full speed beside each other, so several models wait for their turn. The model that fewest
-engines can serve goes first, among equals the one that is most versions behind, then the one whose
-version was named first. Taken in the order of their names, the last of three models got no load for six
-seconds while the first got three versions, and its trainer's step ran into its time limit.
+"""Decide which engines load which model versions, and in which order.
+
+Several trainers share a service's engines, and each requests a new version every few seconds, just
+when it asks for its next step.
 """
 
 from collections import Counter
@@ -30,91 +14,121 @@
 
 __all__ = ["ModelNeed", "engines_to_load", "loads_at_once", "next_load", "part_of", "place_models"]
 
-LOADING_SHARE = 0.4
-MIN_LOADS = 2
+# Fraction of a service's engines that may load at once. With less, a version of several models is
+# late on most engines of a large service; with more, too few engines are left to run the steps.
+MAX_LOADING_FRACTION = 0.4
+# Engines that may load at once in a service too small for `MAX_LOADING_FRACTION`.
+MIN_CONCURRENT_LOADS = 2
 
 
 @attrs.frozen
 class ModelNeed:
-    """A model's wanted version, and what its engines serve or load.
+    """A model's wanted version, and the versions that its engines serve or load.
 
-    `lag` is how many versions before the wanted one its trainer allows, `named_at` when the wanted one was
-    named.
+    `allowed_lag` is the number of versions before the wanted one that its trainer allows.
+    `requested_at` is when the trainer requested the wanted version. `versions` is by engine.
     """
 
     model: str
     wanted: int
-    lag: int
-    named_at: timedelta
+    allowed_lag: int
+    requested_at: timedelta
     versions: Mapping[str, int]
 
     @property
-    def serving(self) -> int:
-        """Count the engines that serve, or are about to serve, what the trainer allows."""
-        return sum(version >= self.wanted - self.lag for version in self.versions.values())
+    def serving_engines(self) -> int:
+        """Return the number of engines that serve, or are loading, a version the trainer allows."""
+        return sum(version >= self.wanted - self.allowed_lag for version in self.versions.values())
 
     @property
-    def behind(self) -> int:
-        """Return how many versions the model's newest engine is behind."""
+    def versions_behind(self) -> int:
+        """Return how many versions the model's most recent engine is behind."""
         return self.wanted - max(self.versions.values(), default=0)
 
     @property
-    def urgency(self) -> tuple[int, int, timedelta, str]:
-        """Return what sorts the most urgent need first."""
-        return (self.serving, -self.behind, self.named_at, self.model)
+    def sort_key(self) -> tuple[int, int, timedelta, str]:
+        """Return a sort key that puts the model to load next first.
 
+        Models with the fewest engines that can serve them come first, then those furthest behind,
+        then those whose version was requested first. Ordered by name, the last of three models got
+        no load for six seconds while the first got three versions, and its trainer's step timed
+        out.
+        """
+        return (self.serving_engines, -self.versions_behind, self.requested_at, self.model)
 
-def loads_at_once(engines: int) -> int:
-    """Return how many engines may load beside each other.
 
-    Four of ten: with less, a version of several models is late on most engines of a large service; with
-    more, the others do not carry the steps meanwhile.
-    """
-    return max(MIN_LOADS, int(engines * LOADING_SHARE))
+def loads_at_once(engines: int) -> int:
+    """Return how many of a service's engines may load at once."""
+    return max(MIN_CONCURRENT_LOADS, int(engines * MAX_LOADING_FRACTION))
 
 
 def part_of(models: int, engines: int) -> int:
-    """Return on how many engines each version of a model is loaded."""
+    """Return the number of engines that load each version of a model: an equal share, rounded up.
+
+    Loading every version on every engine would stop all engines for a second at the start of each
+    step, and with three models on five engines two thirds of the loads would be unused but charged.
+    """
     return -(-engines // max(models, 1))
 
 
 def place_models(lags: Mapping[str, int], engines: Collection[str]) -> dict[str, list[str]]:
-    """Return for each model the engines that are to serve it; `lags` are in versions."""
+    """Return the engines assigned to each model.
+
+    `lags` is the number of versions by which each model's trainer allows samples to be behind. A
+    model whose trainer allows any gets twice as many engines as load each version, or all: one half
+    loads a version while the other serves the step with the previous one, and at the next version
+    they swap. So an engine loads every second version only, and half as many loads are ordered and
+    charged. A model whose trainer allows no lag gets one share, since all its engines have to load.
+
+    Engines with the fewest models are assigned first, and among these the first by rendezvous
+    hashing for the model, so the loss of an engine reassigns few models.
+    """
     if not lags or not engines:
         return {name: [] for name in lags}
-    part = part_of(len(lags), len(engines))
-    taken: Counter[str] = Counter()
+    engines_per_version = part_of(len(lags), len(engines))
+    model_counts: Counter[str] = Counter()
     placed: dict[str, list[str]] = {}
     for name in sorted(lags):
         order = {engine: at for at, engine in enumerate(rendezvous.rank(name, engines))}
-        count = min(len(engines), part if lags[name] == 0 else 2 * part)
-        chosen = sorted(engines, key=lambda engine: (taken[engine], order[engine]))[:count]
-        taken.update(chosen)
+        count = min(
+            len(engines), engines_per_version if lags[name] == 0 else 2 * engines_per_version
+        )
+        chosen = sorted(engines, key=lambda engine: (model_counts[engine], order[engine]))[:count]
+        model_counts.update(chosen)
         placed[name] = chosen
     return placed
 
 
-def engines_to_load(versions: Mapping[str, int], wanted: int, lag: int, part: int) -> list[str]:
-    """Return the engines to bring to the wanted version, the oldest first.
+def engines_to_load(
+    versions: Mapping[str, int], wanted: int, lag: int, engines_per_version: int
+) -> list[str]:
+    """Return the engines to load the wanted version on, those with the oldest version first.
 
-    `versions` is what each of the model's engines serves, `part` how many are to serve the newest; half
-    of the engines at most where the trainer allows the version before.
+    `versions` is what each of the model's engines serves, and `engines_per_version` how many are to
+    serve the wanted one; at most half of the engines if the trainer allows the previous version.
+    Engines whose version is too old for the trainer always load.
     """
     if lag > 0:
-        part = min(part, -(-len(versions) // 2))
+        engines_per_version = min(engines_per_version, -(-len(versions) // 2))
     oldest_first = sorted(versions, key=lambda engine: (versions[engine], engine))
     behind = [engine for engine in oldest_first if versions[engine] < wanted]
-    useless = [engine for engine in behind if versions[engine] < wanted - lag]
-    fresh = len(versions) - len(behind)
-    return behind[: max(len(useless), part - fresh)]
+    too_old = [engine for engine in behind if versions[engine] < wanted - lag]
+    up_to_date = len(versions) - len(behind)
+    return behind[: max(len(too_old), engines_per_version - up_to_date)]
 
 
 def next_load(
-    needs: Sequence[ModelNeed], part: int, busy: Collection[str]
+    needs: Sequence[ModelNeed], engines_per_version: int, busy: Collection[str]
 ) -> tuple[ModelNeed, str] | None:
-    """Return the model and the engine to load next, None if nothing is due on an engine at rest."""
-    for need in sorted(needs, key=lambda need: need.urgency):
-        for engine in engines_to_load(need.versions, need.wanted, need.lag, part):
+    """Return the model and the engine to load next, or None if no idle engine has to load.
+
+    Only a few loads run at full speed in parallel, so models load in the order of
+    `ModelNeed.sort_key`.
+    """
+    for need in sorted(needs, key=lambda need: need.sort_key):
+        for engine in engines_to_load(
+            need.versions, need.wanted, need.allowed_lag, engines_per_version
+        ):
             if engine not in busy:
                 return need, engine
     return None
--- a/cranberryline/decisions/weight_shift.py
+++ b/cranberryline/decisions/weight_shift.py
@@ -1,26 +1,7 @@
-"""Pace the samplers' swaps to new weights.
+"""Spread the samplers' swaps to new weights over time, without a coordinator that could fail.
 
-Load answered: new weights every few minutes on up to 7,300 samplers from a rate-limited store. All
-at once the store refuses most fetches and the rest wait on retries; and while every sampler swaps
-at the same time nothing is sampled, so trainers starve. A coordinator that hands out turns would
-be one more thing that fails.
-
-Each side process works out its own turn from what it knows anyway: the version, the members and
-the settings. Members are ordered by rendezvous hash of the version, which mixes services and data
-centres and changes with every version, and member i starts at i / pace. The pace is the store's
-rate, or less where more than `max_swapping` of the members would be swapping at once.
-
-`DEFAULT_MAX_SWAPPING` is a quarter: swaps take about a second, and with 7,300 samplers within 6 s
-it is 7,300 / 5 s = 1,460 starts a second, a fifth of the members at once. That pace needs a store
-(or caches before it) of 1,460 fetches a second; `time_to_all` says what a slower one gives.
-
-A service too large to list its members to each of them takes turns by hash alone: a member's
-place is its hash's share of the count. Places then meet by chance, so that at a pace of 100 a
-second a second has 100 starts give or take 10, where ranks give exactly 100.
-
-Work in flight stays: an engine that swaps between two tokens loses nothing, and the segments of a
-sample say which version made what. A member list that differs by a few between two side processes
-shifts turns by as many places; the store's own refusal with Retry-After is what remains then.
+New weights arrive every few minutes for up to 7,300 samplers, from a rate-limited store. If all
+swapped at once, the store would reject most fetches and no sampler would serve its trainers.
 """
 
 from collections.abc import Collection
@@ -34,52 +15,78 @@
 __all__ = ["ShiftPlan", "ShiftSettings", "hashed_swap_delay", "swap_delay"]
 
 _SCORE_BITS = 8 * rendezvous.SCORE_BYTES
-DEFAULT_STORE_RATE = 10.0
-DEFAULT_MAX_SWAPPING = 0.25
+# Fetches per second.
+DEFAULT_FETCHES_PER_SECOND = 10.0
+# Fraction of a service's members that may swap at once. For 7,300 samplers within 6 s, at about a
+# second per swap, 7,300 / 5 s = 1,460 swaps start per second, a fifth of the members at once. The
+# store, or caches in front of it, must serve 1,460 fetches per second for that; for a slower one
+# see `ShiftSettings.time_to_swap_all`.
+DEFAULT_MAX_SWAPPING_FRACTION = 0.25
 DEFAULT_SWAP_TIME = timedelta(seconds=1)
 
 
 @attrs.frozen
 class ShiftSettings:
-    """What an operator sets: the store's fetches a second, and the share that may swap at once."""
+    """Operator settings for swaps.
+
+    `store_rate` is the store's limit in fetches per second, `max_swapping` the fraction of members
+    that may swap at once, and `swap_time` the time of one swap.
+    """
 
-    store_rate: float = DEFAULT_STORE_RATE
-    max_swapping: float = DEFAULT_MAX_SWAPPING
+    store_rate: float = DEFAULT_FETCHES_PER_SECOND
+    max_swapping: float = DEFAULT_MAX_SWAPPING_FRACTION
     swap_time: timedelta = DEFAULT_SWAP_TIME
 
-    def pace(self, members: int) -> float:
-        """Return how many swaps start in a second."""
+    def swaps_per_second(self, members: int) -> float:
+        """Return how many swaps start per second.
+
+        This is the store's rate, or less where more than `max_swapping` would swap at once.
+        """
         at_once = max(1.0, self.max_swapping * members)
         return min(self.store_rate, at_once / self.swap_time.total_seconds())
 
-    def time_to_all(self, members: int) -> timedelta:
-        """Return when the last member has swapped, if no fetch fails."""
+    def time_to_swap_all(self, members: int) -> timedelta:
+        """Return the time until the last member has swapped, if no fetch fails."""
         if not members:
             return ZERO
-        return timedelta(seconds=(members - 1) / self.pace(members)) + self.swap_time
+        return timedelta(seconds=(members - 1) / self.swaps_per_second(members)) + self.swap_time
 
 
 @attrs.frozen
 class ShiftPlan:
-    """One member's turn."""
+    """A member's position in the order of swaps, and the delay of its swap."""
 
-    place: int
+    position: int
     delay: timedelta
 
 
 def swap_delay(
     member: str, members: Collection[str], model: str, version: int, settings: ShiftSettings
 ) -> ShiftPlan:
-    """Return the member's turn for a version, counted from when the version came into force."""
+    """Return when a member swaps to a version, as a delay from when the version takes effect.
+
+    Each side process computes its own position by rendezvous hashing of the version, so the order
+    mixes services and data centres and differs between versions. Where two member lists differ by a
+    few, positions shift by as many; if that makes fetches exceed the store's rate, the store
+    rejects them with Retry-After. Swaps do not interrupt work: an engine that swaps between two
+    tokens loses nothing, and the segments of a sample record the version that generated them.
+    """
     key = f"{model}@{version}"
     own = (rendezvous.score(key, member), member)
-    place = sum((rendezvous.score(key, other), other) > own for other in members)
-    return ShiftPlan(place, timedelta(seconds=place / settings.pace(len(members))))
+    position = sum((rendezvous.score(key, other), other) > own for other in members)
+    return ShiftPlan(
+        position, timedelta(seconds=position / settings.swaps_per_second(len(members)))
+    )
 
 
 def hashed_swap_delay(
     member: str, count: int, model: str, version: int, settings: ShiftSettings
 ) -> ShiftPlan:
-    """Return the member's turn where only the count of the members is known."""
-    place = rendezvous.score(f"{model}@{version}", member) * count >> _SCORE_BITS
-    return ShiftPlan(place, timedelta(seconds=place / settings.pace(count)))
+    """Return when a member swaps to a version, given only the number of members.
+
+    Used for services too large to send every member the list of all. The hash is scaled to a
+    position, so positions can collide: at 100 starts per second a second has 100 give or take 10,
+    instead of exactly 100 as with `swap_delay`.
+    """
+    position = rendezvous.score(f"{model}@{version}", member) * count >> _SCORE_BITS
+    return ShiftPlan(position, timedelta(seconds=position / settings.swaps_per_second(count)))
--- a/tests/decisions/conftest.py
+++ b/tests/decisions/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the decisions' tests."""
+"""Fixtures for the tests of `cranberryline.decisions`."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -12,13 +12,13 @@
 
 @pytest.fixture
 def rng() -> Random:
-    """Return a seeded random source."""
+    """Return a seeded random number generator."""
     return Random(7)
 
 
 @pytest.fixture
 def make_item() -> Callable[..., WorkItem]:
-    """Return a maker of work items with ids that are never used twice."""
+    """Return a factory of work items with unique ids."""
     ids = count()
 
     def make(
@@ -42,13 +42,16 @@
 
 @pytest.fixture
 def hold(make_item: Callable[..., WorkItem]) -> Callable[..., Outstanding]:
-    """Return a maker of ledgers; the argument `a=(3, 100)` is three requests of a of 100 tokens."""
+    """Return a factory of `Outstanding`.
+
+    The argument `a=(3, 100)` adds three requests of caller a, of 100 tokens each.
+    """
 
     def make(priority: Priority = Priority.APPLICATION, **callers: tuple[int, int]) -> Outstanding:
-        held = Outstanding()
+        outstanding = Outstanding()
         for caller, (requests, tokens) in callers.items():
             for _ in range(requests):
-                held.add(make_item(caller, priority, tokens))
-        return held
+                outstanding.add(make_item(caller, priority, tokens))
+        return outstanding
 
     return make
--- a/tests/decisions/test_connections.py
+++ b/tests/decisions/test_connections.py
@@ -1,4 +1,4 @@
-"""Requests that are few at each of many entries, and the connections that they open."""
+"""Connection reuse where each of many entries has only a few requests."""
 
 from collections import Counter
 from random import Random
@@ -6,7 +6,7 @@
 import pytest
 
 from cranberryline.decisions import RouteRequest, RoutingPolicy, UpstreamView
-from cranberryline.decisions.routing import CONNECTED_SAVING
+from cranberryline.decisions.routing import CONNECTION_REUSE_DISCOUNT
 
 UPSTREAMS = tuple("abcdef")
 KEPT_S = 4.0
@@ -23,7 +23,10 @@
 
 
 def _new_connections(entries: int, short: bool) -> int:
-    """Play a minute in which each entry has a request each two seconds or so, of 30 ms."""
+    """Return how many connections are opened in a simulated minute.
+
+    Each entry has a request of 30 ms about every two seconds.
+    """
     rng, opened = Random(3), 0
     for _ in range(entries):
         kept: dict[str, float] = {}
@@ -37,26 +40,28 @@
     return opened
 
 
-def test_few_requests_at_each_of_many_entries_reuse_their_connections() -> None:
-    """Spread over all upstreams, kept connections expire between two requests, and most open a new one."""
+def test_infrequent_short_requests_reuse_kept_connections() -> None:
+    """Spread over all upstreams, kept connections would expire between requests."""
     assert _new_connections(91, short=True) < 0.35 * _new_connections(91, short=False)
 
 
-def test_entries_that_keep_to_their_connections_spread_over_the_upstreams() -> None:
-    """Each stays where its first request went, which is drawn: no upstream has twice its share."""
+def test_connection_reuse_does_not_overload_one_upstream() -> None:
+    """Each entry stays with its first, random upstream, and none gets twice its share."""
     rng = Random(5)
     first = Counter(RoutingPolicy().choose(_views(), SHORT, rng) for _ in range(91))
     assert max(first.values()) < 2 * 91 / len(UPSTREAMS)
 
 
-def test_a_connection_is_worth_a_bounded_wait() -> None:
-    """The upstream with the connection turned slow, or has no free slot: requests go elsewhere."""
+def test_kept_connection_does_not_outweigh_a_slow_or_full_upstream() -> None:
+    """If the connected upstream is slow or has no free slot, requests go elsewhere."""
     slow = [
         UpstreamView(
             view.id,
             slots=6,
             connected=view.id == "a",
-            tokens_per_second=100 * (1 - CONNECTED_SAVING) * 0.9 if view.id == "a" else 100,
+            tokens_per_second=(
+                100 * (1 - CONNECTION_REUSE_DISCOUNT) * 0.9 if view.id == "a" else 100
+            ),
         )
         for view in _views()
     ]
@@ -69,7 +74,7 @@
 
 
 @pytest.mark.parametrize("tokens", [1, 500])
-def test_long_requests_do_not_go_by_connections(tokens: int) -> None:
-    """A text of seconds goes where it is done soonest; a new connection costs it nothing that counts."""
+def test_long_requests_ignore_kept_connections(tokens: int) -> None:
+    """For a text of several seconds the cost of a new connection is negligible."""
     spread = _chosen(_views(a=True), RouteRequest(tokens=tokens))
     assert spread["a"] < 100
--- a/tests/decisions/test_job_placement.py
+++ b/tests/decisions/test_job_placement.py
@@ -1,54 +1,54 @@
-"""Which node runs a group, and when another steps in."""
+"""Which node starts a job's group, and when another node takes over."""
 
 from datetime import timedelta
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranberryline.decisions.job_placement import ITEMS_A_NODE, TAKEOVER, JobPlacement
+from cranberryline.decisions.job_placement import ITEMS_PER_NODE, TAKEOVER_DELAY, JobPlacement
 
 ZERO = timedelta()
 NODES = [f"front-{number}" for number in range(9)]
 
 
-def _first(trainer: str, items: int, group: str, live: list[str]) -> list[str]:
+def _starting_at_once(trainer: str, items: int, group: str, live: list[str]) -> list[str]:
     placed = {node: JobPlacement(trainer, items, node, live) for node in live}
     return [node for node in live if placed[node].start_delay(group) == ZERO]
 
 
 @given(st.text(min_size=1), st.text(min_size=1), st.integers(1, 500))
 def test_exactly_one_live_node_starts_a_group_at_once(trainer: str, group: str, items: int) -> None:
-    """All nodes agree who that is without asking each other."""
-    assert len(_first(trainer, items, group, NODES)) == 1
+    """All nodes compute the same first node; with two the group would run twice, with none late."""
+    assert len(_starting_at_once(trainer, items, group, NODES)) == 1
 
 
 @given(st.text(min_size=1), st.integers(0, 40))
-def test_a_dead_node_is_followed_at_once_once_it_is_known(trainer: str, number: int) -> None:
-    """The first node is gone from the live ones: another one is first, and only one."""
-    (first,) = _first(trainer, 100, f"g{number}", NODES)
-    left = [node for node in NODES if node != first]
-    assert len(_first(trainer, 100, f"g{number}", left)) == 1
+def test_dead_first_node_is_replaced_by_exactly_one(trainer: str, number: int) -> None:
+    """When the first node is no longer live, exactly one other node becomes the first."""
+    (first,) = _starting_at_once(trainer, 100, f"g{number}", NODES)
+    remaining = [node for node in NODES if node != first]
+    assert len(_starting_at_once(trainer, 100, f"g{number}", remaining)) == 1
 
 
-def test_others_step_in_one_after_the_other() -> None:
-    """A live first node that does nothing is doubled after one takeover by one node, not by all."""
+def test_nodes_take_over_one_at_a_time() -> None:
+    """If the first node is live but does nothing, one node starts the group per takeover delay."""
     delays = sorted(
         delay
         for node in NODES
         if (delay := JobPlacement("m", 100, node, NODES).start_delay("g")) is not None
     )
-    assert delays == [number * TAKEOVER for number in range(len(delays))]
+    assert delays == [number * TAKEOVER_DELAY for number in range(len(delays))]
     assert len(delays) > 2
 
 
-def test_a_trainers_jobs_stay_with_its_team() -> None:
-    """Step after step the same nodes run, so their connections are used again."""
-    team = {node for node in NODES if JobPlacement("m", 104, node, NODES).in_team}
-    assert len(team) == -(-104 // ITEMS_A_NODE)
-    firsts = {_first("m", 104, f"g{number}", NODES)[0] for number in range(40)}
-    assert firsts == team
+def test_jobs_of_a_trainer_are_assigned_to_the_same_nodes() -> None:
+    """The same nodes run each step of a trainer, so that their connections are reused."""
+    assigned = {node for node in NODES if JobPlacement("m", 104, node, NODES).in_team}
+    assert len(assigned) == -(-104 // ITEMS_PER_NODE)
+    firsts = {_starting_at_once("m", 104, f"g{number}", NODES)[0] for number in range(40)}
+    assert firsts == assigned
 
 
-def test_a_node_that_nobody_lists_counts_itself() -> None:
-    """Before its own sign was read, or without any, a lone node does the work."""
+def test_node_missing_from_the_live_list_counts_itself() -> None:
+    """A node that has not yet read its own heartbeat, or sees none, starts the groups itself."""
     assert JobPlacement("m", 4, "front-1", []).start_delay("g") == ZERO
--- a/tests/decisions/test_lengths.py
+++ b/tests/decisions/test_lengths.py
@@ -1,4 +1,4 @@
-"""What is still to be made of a text, by what was told and what came."""
+"""Estimates of the remaining length of texts."""
 
 import math
 from random import Random
@@ -7,46 +7,46 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranberryline.decisions.lengths import KEPT, TextLengths
+from cranberryline.decisions.lengths import RATIO_WINDOW, TextLengths
 
 TOKENS = 50
 
 
-def _learned(spread: float = 0.0) -> TextLengths:
+def _trained(spread: float = 0.0) -> TextLengths:
     lengths, rng = TextLengths(), Random(3)
-    for _ in range(KEPT):
+    for _ in range(RATIO_WINDOW):
         lengths.learn(round(20 * TOKENS * math.exp(rng.gauss(0, spread))), 20)
     return lengths
 
 
-def test_nothing_is_known_of_events_before_a_text_has_ended() -> None:
-    """What was told counts in tokens as it is; in events nothing but what was made does."""
+def test_estimate_is_not_converted_to_events_before_a_text_has_completed() -> None:
+    """Before, the estimate in tokens is used as is, and in events only the length so far."""
     lengths = TextLengths()
     assert lengths.tokens_an_event is None
     assert lengths.tokens_left(1000, 0) == 1000
     assert lengths.events_left(1000, 40) == pytest.approx(14)
 
 
-def test_the_tokens_of_an_event_are_learned_from_guesses_that_are_off() -> None:
-    """One guess in three is off by half to double; the median is not."""
-    assert _learned(0.5).tokens_an_event == pytest.approx(TOKENS, rel=0.15)
+def test_tokens_per_event_are_learned_from_inexact_estimates() -> None:
+    """One estimate in three is off by half to double; the median ratio is not."""
+    assert _trained(0.5).tokens_an_event == pytest.approx(TOKENS, rel=0.15)
 
 
-def test_a_wild_guess_changes_nothing() -> None:
-    """A caller that tells a thousandfold for one text does not make all others look short."""
-    lengths = _learned()
+def test_single_wrong_estimate_changes_nothing() -> None:
+    """One estimate that is far too large must not make all other texts seem short."""
+    lengths = _trained()
     lengths.learn(10**9, 20)
     assert lengths.events_left(100 * TOKENS, 0) == pytest.approx(100)
 
 
-def test_a_text_that_outgrew_what_was_told_is_not_nearly_over() -> None:
-    """Told 10 events, made 100: some third as many again are expected, and not none."""
-    assert _learned().events_left(10 * TOKENS, 100) == pytest.approx(35)
+def test_text_longer_than_its_estimate_is_not_considered_nearly_complete() -> None:
+    """Estimated at 10 events and at 100 so far, about a third more are expected instead of none."""
+    assert _trained().events_left(10 * TOKENS, 100) == pytest.approx(35)
 
 
 @given(st.integers(0, 10**12), st.integers(0, 10_000))
-def test_what_is_left_is_positive_and_no_longer_than_it_can_be(told: int, made: int) -> None:
-    """Whatever a caller tells, the estimate is a number that routing can weigh."""
-    left = _learned().events_left(told, made)
-    assert 0 < left <= max(told / TOKENS, made, 4)
-    assert _learned().tokens_left(told, made) >= (told > 0)
+def test_remaining_length_is_positive_and_bounded(expected: int, events: int) -> None:
+    """Whatever the caller's estimate, the result stays in a range that routing can compare."""
+    left = _trained().events_left(expected, events)
+    assert 0 < left <= max(expected / TOKENS, events, 4)
+    assert _trained().tokens_left(expected, events) >= (expected > 0)
--- a/tests/decisions/test_loads.py
+++ b/tests/decisions/test_loads.py
@@ -1,8 +1,8 @@
-"""What callers and trainers get under load, played through the queueing model.
+"""Service to callers and trainers under load, simulated with the queueing model of `bench.model`.
 
-The model is that of the measurement: entries, side processes and engines on a virtual clock, with
-seeded arrivals. The bounds here are looser than what docs/POLICY.md reports, so that they fail on
-a lost safeguard and not on a changed threshold.
+The model runs entries, side processes and engines on a virtual clock, with seeded arrivals. The
+bounds are looser than the results reported in docs/POLICY.md, so that they fail when a safeguard is
+lost and not when a threshold changes.
 """
 
 from collections.abc import Callable
@@ -26,26 +26,26 @@
     rollout=AllAhead,
     paced_swaps=False,
 )
-Play = Callable[..., Metrics]
+Simulate = Callable[..., Metrics]
 
 
 @pytest.fixture(scope="module")
-def play() -> Play:
-    """Return a player of loads that plays each only once."""
-    played: dict[tuple[str, bool], Metrics] = {}
+def simulate() -> Simulate:
+    """Return a function that simulates a load and caches its result."""
+    results: dict[tuple[str, bool], Metrics] = {}
 
-    def play_once(name: str, simple: bool = False) -> Metrics:
+    def simulate_once(name: str, simple: bool = False) -> Metrics:
         key = (name, simple)
-        if key not in played:
+        if key not in results:
             decisions = SIMPLE if simple else Decisions()
-            played[key] = run(DEPLOYMENT, load(name), decisions, SEED)
-        return played[key]
+            results[key] = run(DEPLOYMENT, load(name), decisions, SEED)
+        return results[key]
 
-    return play_once
+    return simulate_once
 
 
 def load(name: str) -> Load:
-    """Return a load by name, without trainers where they are not what it is about."""
+    """Return a load by name, without trainers where the test is not about them."""
     found = next(load for load in LOADS if load.name == name)
     if name in ("burst", "outage"):
         return attrs.evolve(found, trainers=0)
@@ -55,29 +55,29 @@
 
 
 def short_calls(metrics: Metrics, start: float = 0.0, end: float = 1e9) -> list[CallRecord]:
-    """Return the applications' short calls that arrived in a time."""
+    """Return the applications' short calls that arrived from `start` to `end`, in seconds."""
     return metrics.select(
         lambda call: call.caller.startswith("applications") and start <= call.arrived < end
     )
 
 
 def served(calls: list[CallRecord]) -> float:
-    """Return the share of calls that were answered in time."""
+    """Return the fraction of calls that were answered in time."""
     return sum(call.how == "done" for call in calls) / len(calls)
 
 
 def p99(calls: list[CallRecord]) -> float:
-    """Return the latency that 99 of 100 answers keep."""
+    """Return the 99th percentile latency of the answered calls."""
     return percentile([call.latency for call in calls if call.how == "done"], 0.99)
 
 
-def test_a_burst_is_refused_in_part_and_forgotten_after(play: Play) -> None:
-    """Application calls come at eight times their rate for twenty seconds.
+def test_burst_excess_is_refused_and_latency_recovers(simulate: Simulate) -> None:
+    """Application calls arrive at eight times their rate for twenty seconds.
 
-    What fits is answered within the deadline; the rest is refused at once and not left to wait
-    until its caller leaves. Half a minute later latencies are what they were before.
+    Calls within capacity are answered by their deadline. The rest is refused at once instead of
+    waiting until its caller gives up. Half a minute later latencies are as before the burst.
     """
-    metrics = play("burst")
+    metrics = simulate("burst")
     window = load("burst").window
     burst = short_calls(metrics, window.start, window.end)
     assert served(burst) > 0.5
@@ -90,13 +90,14 @@
     assert p99(after) < 1.3 * p99(before)
 
 
-def test_a_heavy_caller_gets_what_is_left_and_the_others_hardly_notice(play: Play) -> None:
-    """One of eight callers sends ten times its share, which is more than the upstreams can do.
+def test_heavy_caller_gets_only_the_capacity_that_others_leave(simulate: Simulate) -> None:
+    """One of eight callers sends ten times its share, which exceeds the upstreams' capacity.
 
-    The other seven are nearly all served, at a p99 of at most 1.5 times what it is without; the
-    heavy one still gets several times its own share, for nobody else needs it.
+    Nearly all calls of the other seven are served, at a p99 of at most 1.5 times the one without
+    the heavy caller. The heavy caller still gets several times its share, since nobody else uses
+    it.
     """
-    even, heavy = play("even callers"), play("heavy caller")
+    even, heavy = simulate("even callers"), simulate("heavy caller")
     window = load("heavy caller").window
     others = [
         call for call in short_calls(heavy, window.start, window.end) if call.caller != HEAVY_CALLER
@@ -107,43 +108,43 @@
     assert sum(call.how == "done" for call in own) > 2 * len(others) / 7
 
 
-def test_saturation_does_not_collapse_goodput(play: Play) -> None:
-    """Twice as much comes as can be done.
+def test_overload_does_not_reduce_goodput(simulate: Simulate) -> None:
+    """Calls arrive at twice the capacity.
 
-    The answers given in time are as many as at saturation; without admission most work is thrown
-    away because its callers have left. Refusals carry their reasons.
+    As many are answered in time as at saturation. Without admission control most work is wasted,
+    since its callers have given up. Refusals state their reasons.
     """
-    full, twice = play("saturation"), play("twice saturation")
+    full, twice = simulate("saturation"), simulate("twice saturation")
     assert twice.good_tokens() >= 0.9 * full.good_tokens()
-    assert play("twice saturation", simple=True).good_tokens() < 0.5 * full.good_tokens()
+    assert simulate("twice saturation", simple=True).good_tokens() < 0.5 * full.good_tokens()
     assert twice.refusals()["queue_wait"] > 0
     assert twice.tokens_wasted < 0.02 * twice.good_tokens()
 
 
-def test_background_work_is_not_starved_by_saturation(play: Play) -> None:
-    """Application calls alone would fill the upstreams twice; background work goes on."""
-    calls = play("twice saturation").select(lambda call: call.priority is Priority.BACKGROUND)
+def test_overload_does_not_starve_background_work(simulate: Simulate) -> None:
+    """Application calls alone are twice the capacity; background work still makes progress."""
+    calls = simulate("twice saturation").select(lambda call: call.priority is Priority.BACKGROUND)
     assert served(calls) > 0.5
 
 
-def test_short_calls_pass_long_generations(play: Play) -> None:
-    """Generations of 2,500 tokens come among calls of ninety.
+def test_short_calls_do_not_queue_behind_long_generations(simulate: Simulate) -> None:
+    """Generations of 2,500 tokens arrive among calls of ninety.
 
-    The short calls are served within their ten seconds; in order of arrival a good part of them
-    waits for slots until its callers leave.
+    The short calls are served within their ten seconds. In order of arrival, many of them would
+    wait for slots until their callers give up.
     """
-    ours, simple = play("long among short"), play("long among short", simple=True)
+    ours, simple = simulate("long among short"), simulate("long among short", simple=True)
     assert served(short_calls(ours)) > 0.93
     assert served(short_calls(simple)) < served(short_calls(ours)) - 0.05
 
 
-def test_an_outage_is_not_multiplied_and_ends_by_itself(play: Play) -> None:
+def test_outage_does_not_cause_a_retry_storm_and_service_recovers(simulate: Simulate) -> None:
     """Every upstream fails every request for a minute.
 
-    The attempts stay below 1.2 for each request; half a minute after the outage calls are served
-    as before, without anybody's doing.
+    Retries do not multiply the load: there are fewer than 1.2 attempts per request. Half a minute
+    after the outage calls are served as before, without intervention.
     """
-    metrics = play("outage")
+    metrics = simulate("outage")
     window = load("outage").window
     attempts = sum(window.covers(at) for at in metrics.attempts)
     requests = sum(window.covers(at) for at in metrics.requests)
@@ -153,34 +154,34 @@
     assert p99(after) < 1.3 * p99(short_calls(metrics, 0, window.start))
 
 
-def test_a_slow_upstream_does_not_stall_the_trainers(play: Play) -> None:
-    """One of five upstreams works at a tenth of its speed for the whole time.
+def test_slow_upstream_does_not_stall_trainers(simulate: Simulate) -> None:
+    """One of five upstreams runs at a tenth of its speed throughout.
 
-    Its samples are continued elsewhere and new work avoids it: trainers wait less than half as
-    long as with simple rules, for samples that are fresher, and calls are served. The comparison
-    is at freshness 0.4, whose allowance of 1.2 versions lies clearly below the simple rules' 1.5.
+    Its samples are resumed elsewhere and new work avoids it. Trainers wait less than half as long
+    as with the simple policies, for fresher samples, and calls are served. The comparison is at
+    freshness 0.4, whose allowance of 1.2 versions is clearly below the 1.5 of the simple policies.
     """
-    simple = play("slow upstream", simple=True)
+    simple = simulate("slow upstream", simple=True)
     ours = run(DEPLOYMENT, load("slow upstream"), Decisions(freshness=0.4), SEED)
     assert ours.idle_share <= 0.5 * simple.idle_share
     assert ours.mean_staleness <= 1.2 < simple.mean_staleness
     assert served(short_calls(ours)) > 0.95
-    as_deployed = play("slow upstream")
+    as_deployed = simulate("slow upstream")
     allowed = (1 - DEPLOYMENT.freshness) * DEPLOYMENT.staleness_bound
     assert as_deployed.idle_share <= 0.25 * simple.idle_share
     assert as_deployed.mean_staleness <= allowed
 
 
-def test_no_sample_misses_the_staleness_bound(play: Play) -> None:
-    """Whatever stalls, a trainer receives nothing older than the bound, and its steps go on."""
+def test_no_sample_exceeds_the_staleness_bound(simulate: Simulate) -> None:
+    """While samples stall, trainers receive none beyond the bound, and steps still complete."""
     for name in ("slow upstream", "stragglers"):
-        metrics = play(name)
+        metrics = simulate(name)
         assert max(metrics.staleness) <= DEPLOYMENT.staleness_bound
         assert metrics.steps >= 6
 
 
-def test_the_same_seed_gives_the_same_figures() -> None:
-    """A run is a function of its load, decisions and seed."""
+def test_same_seed_gives_same_metrics() -> None:
+    """A simulation is a function of its load, decisions and seed."""
     short = attrs.evolve(load("steady"), seconds=60.0)
     first, second = (run(DEPLOYMENT, short, Decisions(), SEED) for _ in range(2))
     assert first == second
--- a/tests/decisions/test_moving.py
+++ b/tests/decisions/test_moving.py
@@ -1,4 +1,4 @@
-"""When a text leaves its engine for a faster one."""
+"""When a text moves from its engine to a faster one."""
 
 from datetime import timedelta
 
@@ -6,78 +6,78 @@
 from hypothesis import strategies as st
 
 from cranberryline.decisions.moving import (
-    FASTER,
-    HEARD_WITHIN,
-    MARGIN,
+    MAX_EVENT_RATE_AGE,
+    MIN_NET_SAVING,
+    MIN_SPEEDUP,
     MOVE_COST,
     EnginePaces,
     faster_elsewhere,
 )
 
-PACE = st.floats(0.1, 1000)
+RATE = st.floats(0.1, 1000)
 FAST, SLOW = 26.0, 5.4
 
 
-def _heard(pace: float, seconds: float = 2.0, paces: EnginePaces | None = None) -> EnginePaces:
-    """Return what is heard of an engine that makes events at a pace, some each quarter of a second."""
-    paces = paces or EnginePaces()
+def _recorded(rate: float, seconds: float = 2.0, rates: EnginePaces | None = None) -> EnginePaces:
+    """Record events of engine e at a rate, once every quarter of a second."""
+    rates = rates or EnginePaces()
     for step in range(int(seconds * 4)):
         now = timedelta(seconds=0.25 * (step + 1))
-        paces.heard("e", round(pace / 4), timedelta(seconds=0.25), now)
-    return paces
+        rates.heard("e", round(rate / 4), timedelta(seconds=0.25), now)
+    return rates
 
 
-def test_a_long_text_leaves_an_engine_that_became_slow() -> None:
-    """130 events at an event in 185 ms take 24 s, and 5 where one takes 38 ms."""
+def test_long_text_moves_from_an_engine_that_became_slow() -> None:
+    """130 events take 24 s at 185 ms each, and 5 s at 38 ms each."""
     assert faster_elsewhere(130, SLOW, [0.0, FAST])
 
 
-def test_a_third_slower_counts_for_a_long_text_alone() -> None:
-    """An engine that is a third slower at all times costs a long text 1.5 s, a usual one 0.3."""
+def test_engine_a_third_slower_matters_only_to_a_long_text() -> None:
+    """An engine that is a third slower costs a long text 1.5 s and a usual one only 0.3 s."""
     assert faster_elsewhere(130, 20.0, [FAST])
     assert not faster_elsewhere(26, 20.0, [FAST])
 
 
-def test_a_text_that_is_nearly_over_stays() -> None:
-    """Two events are made in less than a move costs."""
+def test_nearly_complete_text_stays() -> None:
+    """Two events take less time than a move."""
     assert not faster_elsewhere(2, SLOW, [FAST])
 
 
-def test_where_all_are_slow_or_full_nothing_moves() -> None:
-    """Engines slowed by being full are slow alike, and full ones are not offered at all."""
+def test_nothing_moves_if_all_engines_are_slow_or_full() -> None:
+    """Full engines are equally slow, and are not candidates at all."""
     assert not faster_elsewhere(1000, SLOW, [SLOW, SLOW * 1.1])
     assert not faster_elsewhere(1000, SLOW, [])
     assert not faster_elsewhere(1000, SLOW, [0.0])
 
 
-@given(st.floats(0, 10_000), PACE, PACE)
-def test_two_engines_never_pass_a_text_to_and_fro(left: float, one: float, other: float) -> None:
-    """With the same paces a text that would go there would not come back."""
+@given(st.floats(0, 10_000), RATE, RATE)
+def test_text_never_moves_back_and_forth(left: float, one: float, other: float) -> None:
+    """At the same rates, a text that would move there would not move back."""
     there, back = faster_elsewhere(left, one, [other]), faster_elsewhere(left, other, [one])
     assert not (there and back)
 
 
-@given(st.floats(0, 10_000), PACE, PACE)
-def test_a_move_saves_more_than_it_costs(left: float, here: float, there: float) -> None:
-    """Whatever the paces are, what is left is made sooner by the cost and the margin."""
+@given(st.floats(0, 10_000), RATE, RATE)
+def test_move_saves_more_than_it_costs(left: float, here: float, there: float) -> None:
+    """At any rates, a move completes the text sooner by more than its cost and the margin."""
     if faster_elsewhere(left, here, [there]):
-        assert left / here - left / there > (MOVE_COST + MARGIN).total_seconds()
-        assert there >= here * FASTER
+        assert left / here - left / there > (MOVE_COST + MIN_NET_SAVING).total_seconds()
+        assert there >= here * MIN_SPEEDUP
 
 
-def test_a_slow_engine_is_known_within_a_second() -> None:
-    """Two seconds at a fast pace, then events five times as rare."""
-    paces = _heard(FAST)
+def test_slow_engine_is_detected_within_a_second() -> None:
+    """After two seconds at a high rate, events arrive at a fifth of it."""
+    rates = _recorded(FAST)
     for step in range(6):
         now = timedelta(seconds=2 + 0.19 * (step + 1))
-        paces.heard("e", 1, timedelta(milliseconds=190), now)
-    assert paces.events_per_second("e", timedelta(seconds=3.2)) < FAST / FASTER
+        rates.heard("e", 1, timedelta(milliseconds=190), now)
+    assert rates.events_per_second("e", timedelta(seconds=3.2)) < FAST / MIN_SPEEDUP
 
 
-def test_what_was_heard_long_ago_says_nothing() -> None:
-    """An engine that was slow then is tried again, and its entry goes when others come."""
-    paces = _heard(SLOW)
-    later = timedelta(seconds=2) + HEARD_WITHIN + timedelta(milliseconds=1)
-    assert paces.events_per_second("e", later) == 0
-    paces.heard("f", 5, timedelta(seconds=0.2), later)
-    assert list(paces._meters) == ["f"]
+def test_old_rates_are_discarded() -> None:
+    """An engine that was slow long ago is tried again, and evicted when another one is recorded."""
+    rates = _recorded(SLOW)
+    later = timedelta(seconds=2) + MAX_EVENT_RATE_AGE + timedelta(milliseconds=1)
+    assert rates.events_per_second("e", later) == 0
+    rates.heard("f", 5, timedelta(seconds=0.2), later)
+    assert list(rates._meters) == ["f"]
--- a/tests/decisions/test_rollout.py
+++ b/tests/decisions/test_rollout.py
@@ -1,4 +1,4 @@
-"""Which samples are started, and what becomes of stragglers."""
+"""Which samples are started, and what happens to stragglers."""
 
 from datetime import timedelta
 
@@ -21,7 +21,10 @@
 
 
 def view(**fields: object) -> RolloutView:
-    """Return a trainer that trains on step 4 at version 4, and takes step 5 in half a minute."""
+    """Return the view of a trainer that trains on step 4 at version 4.
+
+    It pulls step 5 in half a minute.
+    """
     groups = [
         GroupView(f"{step}/{i}", step, 8, 100 + 200 * i) for step in (5, 6, 7) for i in range(4)
     ]
@@ -42,7 +45,7 @@
 
 
 def sample(**fields: object) -> SampleView:
-    """Return a sample of step 5 that has half of its 1,000 tokens and makes 50 a second."""
+    """Return a sample of step 5 with half of its 1,000 tokens, at 50 tokens per second."""
     defaults = {
         "id": "s",
         "step": 5,
@@ -57,59 +60,59 @@
 
 
 def policy(freshness: float, bound: int = 2) -> RolloutPolicy:
-    """Return a policy."""
+    """Return a policy with the given settings."""
     return RolloutPolicy(RolloutSettings(freshness, bound))
 
 
-def started(plan_of: RolloutPolicy, seen: RolloutView) -> list[str]:
-    """Return the groups that are started, in order."""
-    return [start.group for start in plan_of.plan(seen).start]
+def started(rollout_policy: RolloutPolicy, current: RolloutView) -> list[str]:
+    """Return the ids of the started groups, in order."""
+    return [start.group for start in rollout_policy.plan(current).start]
 
 
-def test_full_freshness_waits_for_the_weights_of_the_step() -> None:
-    """Nothing starts while the trainer trains; when its new weights are served the step starts."""
+def test_full_freshness_starts_nothing_before_the_weights_of_the_step() -> None:
+    """Nothing starts while the trainer trains; the step starts when its new weights are served."""
     assert started(policy(1.0), view()) == []
     ready = view(until_pull=timedelta(), sampler_version=5)
     assert sorted(started(policy(1.0), ready)) == ["5/0", "5/1", "5/2", "5/3"]
 
 
-def test_no_freshness_starts_all_that_the_bound_allows() -> None:
-    """Steps 5 and 6 would be one and two versions old; step 7 would be three and must wait."""
+def test_zero_freshness_starts_everything_within_the_bound() -> None:
+    """Steps 5 and 6 would be one and two versions old; step 7 would be three and has to wait."""
     groups = started(policy(0.0), view())
     assert {group[0] for group in groups} == {"5", "6"}
     assert len(groups) == 8
 
 
-def test_the_allowance_between_goes_to_the_longest() -> None:
-    """An allowance of half a version a sample starts the longest groups of step 5 early."""
+def test_early_start_allowance_goes_to_the_longest_groups() -> None:
+    """An allowance of half a version per sample starts the longest groups of step 5 early."""
     groups = started(policy(0.75), view())
     assert "5/3" in groups
     assert "5/0" not in groups
 
 
-def test_the_allowance_is_spent_where_lengths_are_not_known() -> None:
-    """All groups are expected to take equally long, so no common wait parts them.
+def test_allowance_is_used_if_lengths_are_unknown() -> None:
+    """All groups are expected to take equally long, so no common wait separates them.
 
-    An allowance of one version a sample starts all of step 5, and one of half a version half of it;
-    otherwise everything would wait for the new weights, and the trainer with it.
+    An allowance of one version per sample starts all of step 5, and one of half a version half of
+    it. Otherwise all groups would wait for the new weights, and the trainer would be idle.
     """
     equal = [GroupView(f"5/{i}", 5, 8, 300) for i in range(4)]
-    seen = view(waiting=equal)
+    current = view(waiting=equal)
     for freshness, samples in ((0.5, 32), (0.75, 16), (1.0, 0)):
-        plan = policy(freshness).plan(seen)
+        plan = policy(freshness).plan(current)
         assert sum(start.samples for start in plan.start) == samples
 
 
-def test_what_was_started_early_is_taken_off_the_allowance() -> None:
-    """The step has used up its allowance; the rest waits for new weights."""
+def test_earlier_starts_count_against_the_allowance() -> None:
+    """The step has used up its allowance, so its other samples wait for new weights."""
     used = {5: StepView(32, 32), 6: StepView(32, 32), 7: StepView(32, 0)}
     assert started(policy(0.5), view(steps=used)) == []
 
 
-def test_no_more_is_started_than_there_is_room_for() -> None:
-    """A sample that waits at a sampler starts no earlier, and holds a place.
+def test_no_more_samples_are_started_than_slots_are_free() -> None:
+    """A sample queued at a sampler starts no earlier and occupies the queue.
 
-    A step that the trainer waits for gets all the room; early starts leave 15% of it for moves.
+    A step that the trainer waits for gets all free slots; early starts leave 15% of them for moves.
     """
     ready = view(room=10, until_pull=timedelta(), sampler_version=5, steps={5: StepView(32, 0)})
     ready = attrs.evolve(ready, waiting=[group for group in ready.waiting if group.step == 5])
@@ -117,45 +120,49 @@
     assert sum(start.samples for start in policy(0.0).plan(view(room=10)).start) == 9
 
 
-def test_a_stalled_sample_is_continued_elsewhere_from_what_it_has() -> None:
-    """Its upstream has sent no token for ten seconds and the trainer waits for the step."""
+def test_stalled_sample_is_resumed_elsewhere() -> None:
+    """Its upstream has sent no token for ten seconds while the trainer waits for the step."""
     stalled = sample(since_progress=timedelta(seconds=10))
     plan = policy(0.5).plan(view(until_pull=timedelta(), in_flight=(stalled,)))
     assert [decision.action for decision in plan.stragglers] == [StragglerAction.RESUME]
 
 
-def test_a_sample_without_any_token_is_hedged() -> None:
-    """It may only wait in a queue, so the first copy stays; a second copy gets no third."""
-    silent = sample(tokens_done=0, since_progress=timedelta(seconds=30), tokens_per_second=0.0)
-    waits = view(until_pull=timedelta(), in_flight=(silent,))
-    assert policy(0.5).plan(waits).stragglers[0].action is StragglerAction.HEDGE
-    twice = view(until_pull=timedelta(), in_flight=(attrs.evolve(silent, copies=2),))
-    assert policy(0.5).plan(twice).stragglers == ()
+def test_stalled_sample_without_tokens_is_hedged_once() -> None:
+    """It may only be queued, so the first copy is kept; there is never a third copy."""
+    without_tokens = sample(
+        tokens_done=0, since_progress=timedelta(seconds=30), tokens_per_second=0.0
+    )
+    with_first_copy = view(until_pull=timedelta(), in_flight=(without_tokens,))
+    assert policy(0.5).plan(with_first_copy).stragglers[0].action is StragglerAction.HEDGE
+    with_second_copy = view(
+        until_pull=timedelta(), in_flight=(attrs.evolve(without_tokens, copies=2),)
+    )
+    assert policy(0.5).plan(with_second_copy).stragglers == ()
 
 
-def test_a_crawling_sample_that_is_not_needed_yet_stays() -> None:
-    """Its step is two minutes away; its upstream may recover by itself."""
+def test_slow_sample_that_is_not_due_stays() -> None:
+    """Its step is pulled in over two minutes, and its upstream may recover by then."""
     slow = sample(step=7, version=5, tokens_per_second=1.0)
     assert policy(0.5).plan(view(in_flight=(slow,))).stragglers == ()
 
 
-def test_a_slowdown_of_everything_moves_little() -> None:
-    """Every sample crawls, so no place is better; at most a tenth is moved in one round."""
-    crawling = tuple(sample(id=f"s{i}", tokens_per_second=1.0) for i in range(50))
-    seen = view(until_pull=timedelta(), in_flight=crawling, waiting=())
-    assert policy(0.5).plan(attrs.evolve(seen, sample_tokens_per_second=1.0)).stragglers == ()
-    assert len(policy(0.5).plan(seen).stragglers) == 5
+def test_general_slowdown_moves_few_samples() -> None:
+    """No upstream is better if every sample is slow; at most a tenth is moved in one round."""
+    slow_samples = tuple(sample(id=f"s{i}", tokens_per_second=1.0) for i in range(50))
+    current = view(until_pull=timedelta(), in_flight=slow_samples, waiting=())
+    assert policy(0.5).plan(attrs.evolve(current, sample_tokens_per_second=1.0)).stragglers == ()
+    assert len(policy(0.5).plan(current).stragglers) == 5
 
 
-def test_without_room_nothing_is_moved() -> None:
-    """A sample that is moved into a queue stalls again."""
+def test_nothing_is_moved_without_a_free_slot() -> None:
+    """A sample moved into a queue would stall again."""
     stalled = sample(since_progress=timedelta(seconds=10))
-    seen = view(until_pull=timedelta(), in_flight=(stalled,), room=0)
-    assert policy(0.5).plan(seen).stragglers == ()
+    current = view(until_pull=timedelta(), in_flight=(stalled,), room=0)
+    assert policy(0.5).plan(current).stragglers == ()
 
 
-def test_a_sample_that_will_be_too_stale_is_given_up_and_made_again() -> None:
-    """Its oldest tokens are of version 2; at version 5 the bound of two is missed."""
+def test_sample_that_will_be_too_stale_is_given_up() -> None:
+    """Its oldest tokens are of version 2; at version 5 that exceeds the bound of two."""
     old = sample(version=2)
     plan = policy(0.5).plan(view(in_flight=(old,)))
     assert [decision.action for decision in plan.stragglers] == [StragglerAction.GIVE_UP]
@@ -175,17 +182,17 @@
 
 
 @given(WAITING, st.floats(0, 1), st.integers(0, 3), st.integers(0, 100), st.integers(3, 5))
-def test_nothing_is_started_that_would_miss_the_bound(
+def test_no_sample_is_started_that_would_exceed_the_bound(
     waiting: list[GroupView], freshness: float, bound: int, room: int, served: int
 ) -> None:
-    """Starts stay within room, bound and allowance, and are a function of the view."""
+    """Starts stay within free slots, bound and allowance, and are a function of the view."""
     steps = {
         step: StepView(sum(group.samples for group in waiting if group.step == step), 0)
         for step in range(5, 9)
     }
-    seen = view(waiting=waiting, steps=steps, room=room, sampler_version=served)
-    plan = policy(freshness, bound).plan(seen)
-    assert plan == policy(freshness, bound).plan(seen)
+    current = view(waiting=waiting, steps=steps, room=room, sampler_version=served)
+    plan = policy(freshness, bound).plan(current)
+    assert plan == policy(freshness, bound).plan(current)
     groups = {group.id: group for group in waiting}
     assert sum(start.samples for start in plan.start) <= room
     early = dict.fromkeys(steps, 0)
@@ -200,8 +207,8 @@
 
 
 @pytest.mark.parametrize("freshness", [0.0, 0.5, 1.0])
-def test_a_ready_trainer_gets_everything_of_its_step(freshness: float) -> None:
-    """The trainer waits and the samplers serve its version: the whole step is started."""
-    seen = view(until_pull=timedelta(), sampler_version=5)
-    groups = [group for group in started(policy(freshness), seen) if group.startswith("5/")]
+def test_step_of_a_waiting_trainer_starts_completely(freshness: float) -> None:
+    """While the trainer waits and the samplers serve its version, the whole step is started."""
+    current = view(until_pull=timedelta(), sampler_version=5)
+    groups = [group for group in started(policy(freshness), current) if group.startswith("5/")]
     assert len(groups) == 4
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -1,4 +1,4 @@
-"""Where work goes, and where it does not."""
+"""Which upstream a request is sent to, and rendezvous ranking."""
 
 from collections import Counter
 from datetime import timedelta
@@ -23,7 +23,7 @@
 
 
 def upstream(name: str, **fields: object) -> UpstreamView:
-    """Return an upstream with sixteen slots that makes 50 tokens a second for each request."""
+    """Return an upstream with sixteen slots that generates 50 tokens per second per request."""
     return UpstreamView(**{"id": name, "slots": 16, "tokens_per_second": 50.0, **fields})  # type: ignore[arg-type]
 
 
@@ -33,66 +33,66 @@
     return Counter(RoutingPolicy().choose(upstreams, req, rng) for _ in range(times))
 
 
-def test_own_outstanding_work_counts_before_any_report() -> None:
-    """The entry has sent much to a; the report, a second old, still calls both idle."""
+def test_own_outstanding_work_counts_before_a_report_shows_it() -> None:
+    """The entry has sent much work to a, but the report, a second old, still shows both idle."""
     sent = upstream("a", own_requests=10, own_tokens=5000, report_age=timedelta(seconds=1))
     assert set(chosen([sent, upstream("b")])) == {"b"}
 
 
-def test_a_fresh_report_shows_the_work_of_other_entries() -> None:
-    """Other entries have filled a."""
+def test_fresh_report_counts_the_work_of_other_entries() -> None:
+    """Other entries have filled upstream a."""
     busy = upstream("a", reported_requests=16, reported_tokens=5000, report_age=FRESH)
     assert set(chosen([busy, upstream("b", own_requests=1, own_tokens=100)])) == {"b"}
 
 
-def test_an_old_report_is_not_trusted() -> None:
-    """The report that calls a busy is half a minute old; own work at b is certain."""
+def test_old_report_is_discounted() -> None:
+    """The report that shows a busy is half a minute old, while own work at b is known."""
     busy = upstream(
         "a", reported_requests=16, reported_tokens=5000, report_age=timedelta(seconds=30)
     )
     assert set(chosen([busy, upstream("b", own_requests=2, own_tokens=200)])) == {"a"}
 
 
-def test_a_slow_upstream_gets_little() -> None:
-    """One of three works at a tenth of the pace: it is not chosen while the others have room."""
+def test_slow_upstream_is_avoided() -> None:
+    """One of three runs at a tenth of the speed; it is not chosen while the others have slots."""
     slow = upstream("slow", tokens_per_second=5.0)
     assert chosen([slow, upstream("a"), upstream("b")])["slow"] == 0
 
 
-def test_an_upstream_without_a_measurement_is_tried() -> None:
-    """A new upstream counts as typical, or it would never be measured."""
+def test_upstream_without_a_measurement_is_tried() -> None:
+    """A new upstream is assumed to have the typical rate, or it would never be measured."""
     others = [upstream(name, own_requests=4, own_tokens=400) for name in "ab"]
     assert chosen([upstream("new", tokens_per_second=0.0), *others])["new"] == 200
 
 
-def test_a_cached_prefix_is_used_only_while_it_saves_more_than_it_costs() -> None:
-    """A prefix saves 60 of 100 tokens on its upstream.
+def test_cached_prefix_is_used_only_while_it_saves_more_than_the_wait() -> None:
+    """A cached prefix saves 60 of 100 tokens on one upstream.
 
-    With equal load its requests go there; once the wait there costs more, they go elsewhere.
+    With equal load its requests go there; once waiting there takes longer, they go elsewhere.
     """
     names = ["a", "b", "c"]
     req = RouteRequest(tokens=100, prefix_key="p", prefix_tokens=60)
-    home = rendezvous.rank("p", names)[0]
-    assert chosen([upstream(name) for name in names], req)[home] == 200
+    cached_on = rendezvous.rank("p", names)[0]
+    assert chosen([upstream(name) for name in names], req)[cached_on] == 200
     loaded = [
-        upstream(name, own_requests=16 * (name == home), own_tokens=2000 * (name == home))
+        upstream(name, own_requests=16 * (name == cached_on), own_tokens=2000 * (name == cached_on))
         for name in names
     ]
-    assert chosen(loaded, req)[home] == 0
+    assert chosen(loaded, req)[cached_on] == 0
 
 
-def test_a_cached_prefix_counts_for_nothing_where_no_slot_is_free() -> None:
-    """A heavy caller has filled every upstream alike; what a call waits for is its own turn.
+def test_cached_prefix_is_ignored_without_a_free_slot() -> None:
+    """A heavy caller has filled every upstream equally, so a call waits for a slot anywhere.
 
-    Calls of one prefix spread, in place of queueing one behind the other at its upstream.
+    Calls with the same prefix are spread instead of queueing behind each other at one upstream.
     """
     full = [upstream(name, own_requests=16, own_tokens=2000) for name in "abc"]
     spread = chosen(full, RouteRequest(tokens=100, prefix_key="p", prefix_tokens=60))
     assert min(spread[name] for name in "abc") > 40
 
 
-def test_draining_excluded_and_stale_upstreams_are_not_chosen() -> None:
-    """Only the upstream that serves version 7 and stays may get the work."""
+def test_draining_excluded_and_outdated_upstreams_are_not_chosen() -> None:
+    """Only the upstream that serves version 7 and is neither draining nor excluded is eligible."""
     upstreams = [
         upstream("draining", weight_version=7, draining=True),
         upstream("excluded", weight_version=7),
@@ -105,16 +105,16 @@
     assert RoutingPolicy().choose(upstreams[:4], req, Random(1)) is None
 
 
-def test_a_probe_goes_first_and_only_where_allowed() -> None:
-    """A drawn-down upstream is due for a probe; a request that may not be one avoids it."""
+def test_due_probe_goes_first_if_the_request_may_probe() -> None:
+    """A failed upstream is due for a probe; a request that may not be a probe avoids it."""
     down = upstream("down", health=HealthView(0.0, probe_due=True))
     upstreams = [down, upstream("a")]
     assert set(chosen(upstreams)) == {"down"}
     assert set(chosen(upstreams, RouteRequest(tokens=1, may_probe=False))) == {"a"}
 
 
-def test_entries_that_see_the_same_reports_do_not_all_choose_the_same_upstream() -> None:
-    """Of forty equal upstreams one is reported idle, the others almost idle."""
+def test_entries_with_the_same_reports_do_not_all_choose_the_same_upstream() -> None:
+    """One of forty equal upstreams is reported idle and the others almost idle."""
     upstreams = [
         upstream(f"u{i}", reported_requests=1 + (i > 0), reported_tokens=10, report_age=FRESH)
         for i in range(40)
@@ -122,8 +122,8 @@
     assert max(chosen(upstreams, times=400).values()) < 60
 
 
-def test_room_leaves_out_slow_upstreams_and_reserved_slots() -> None:
-    """Two healthy upstreams of sixteen slots, one with ten requests, and one that crawls."""
+def test_free_slots_exclude_slow_upstreams_and_reserved_slots() -> None:
+    """Two healthy upstreams have sixteen slots, one of them ten requests; a third is slow."""
     upstreams = [
         upstream("a"),
         upstream("b", own_requests=3, reported_requests=10),
@@ -155,14 +155,14 @@
 
 
 @given(VIEWS, st.none() | st.integers(0, 9), st.integers(0, 99), st.sampled_from(list(Priority)))
-def test_a_choice_is_allowed_and_a_function_of_its_inputs(
+def test_choice_is_eligible_and_deterministic(
     views: list[UpstreamView], version: int | None, seed: int, priority: Priority
 ) -> None:
-    """The chosen upstream may be chosen, and one is chosen whenever one may be."""
+    """The chosen upstream is eligible, and one is chosen whenever one is eligible."""
     req = RouteRequest(tokens=50, priority=priority, min_weight_version=version, prefix_key="p")
     choice = RoutingPolicy().choose(views, req, Random(seed))
     assert choice == RoutingPolicy().choose(views, req, Random(seed))
-    allowed = {
+    eligible = {
         view.id
         for view in views
         if not view.draining
@@ -171,15 +171,15 @@
             version is None or (view.weight_version is not None and view.weight_version >= version)
         )
     }
-    assert (choice in allowed) if allowed else choice is None
+    assert (choice in eligible) if eligible else choice is None
 
 
 @pytest.mark.parametrize("members", [1, 7, 40])
-def test_ranking_moves_only_the_keys_of_a_member_that_left(members: int) -> None:
-    """A member leaves; the keys whose first choice was another keep it."""
+def test_ranking_reassigns_only_the_keys_of_a_member_that_left(members: int) -> None:
+    """When a member leaves, keys that ranked another one first keep that one."""
     ids = [f"m{i}" for i in range(members)]
-    left = ids[1:]
+    remaining = ids[1:]
     for key in (f"k{i}" for i in range(50)):
         before = rendezvous.rank(key, ids)
         assert before[0] == rendezvous.top(key, ids)
-        assert [member for member in before if member != "m0"] == rendezvous.rank(key, left)
+        assert [member for member in before if member != "m0"] == rendezvous.rank(key, remaining)
--- a/tests/decisions/test_subset.py
+++ b/tests/decisions/test_subset.py
@@ -1,4 +1,4 @@
-"""The subsets of upstreams that entries dial."""
+"""The subsets of upstreams that entries connect to."""
 
 from collections import Counter
 
@@ -18,13 +18,13 @@
     return {entry: subset(entry, entries, upstreams) for entry in entries}
 
 
-def test_few_upstreams_are_all_dialled() -> None:
-    """Today's deployments: every entry reaches every upstream."""
+def test_few_upstreams_are_all_in_the_subset() -> None:
+    """In a small deployment every entry connects to every upstream."""
     assert subset("entry-0", ENTRIES, UPSTREAMS[:6]) == frozenset(UPSTREAMS[:6])
 
 
-def test_every_upstream_is_reached_evenly_by_bounded_subsets() -> None:
-    """Forty entries before 380 upstreams: each upstream has at least three entries."""
+def test_subsets_are_bounded_and_cover_upstreams_evenly() -> None:
+    """Forty entries and 380 upstreams: each upstream has at least three entries."""
     chosen = subsets(ENTRIES, UPSTREAMS)
     entries_of = Counter(upstream for own in chosen.values() for upstream in own)
     assert len(entries_of) == len(UPSTREAMS)
@@ -35,8 +35,8 @@
     assert max(sizes) <= 2 * 3 * len(UPSTREAMS) / len(ENTRIES)
 
 
-def test_an_upstream_that_leaves_changes_nothing_else() -> None:
-    """Entries with more than the minimum lose that upstream and no other."""
+def test_upstream_that_leaves_closes_no_other_connection() -> None:
+    """Entries with more than the minimum subset lose that upstream and no other."""
     before = subsets(ENTRIES, UPSTREAMS)
     after = subsets(ENTRIES, UPSTREAMS[1:])
     for entry in ENTRIES:
@@ -44,8 +44,8 @@
             assert before[entry] - {UPSTREAMS[0]} == after[entry]
 
 
-def test_an_entry_that_leaves_moves_only_its_own_upstreams() -> None:
-    """The others take over about three upstreams each and drop none."""
+def test_entry_that_leaves_reassigns_only_its_own_upstreams() -> None:
+    """The others gain only upstreams of the entry that left, and drop none."""
     before = subsets(ENTRIES, UPSTREAMS)
     after = subsets(ENTRIES[1:], UPSTREAMS)
     moved = 0
@@ -59,8 +59,8 @@
 
 
 @given(st.integers(1, 12), st.integers(0, 60))
-def test_no_upstream_is_left_out(entries: int, upstreams: int) -> None:
-    """Together the entries reach every upstream."""
+def test_every_upstream_is_in_a_subset(entries: int, upstreams: int) -> None:
+    """Together the entries connect to every upstream."""
     chosen = subsets(ENTRIES[:entries], UPSTREAMS[:upstreams])
     assert frozenset().union(*chosen.values()) == frozenset(UPSTREAMS[:upstreams])
 
@@ -71,10 +71,10 @@
 
 
 @given(changes)
-def test_a_chooser_that_remembers_agrees_with_one_that_does_not(
+def test_incremental_subset_equals_one_computed_from_scratch(
     steps: list[tuple[str, int]],
 ) -> None:
-    """Whatever joins and leaves, the subset is the one that another process works out anew."""
+    """As members join and leave, the subset equals one computed from scratch elsewhere."""
     entries, upstreams = set(ENTRIES[:30]), set(UPSTREAMS[:60])
     chooser = SubsetChooser(ENTRIES[3], per_upstream=2, min_subset=2)
     for kind, number in steps:
@@ -86,8 +86,8 @@
         assert chooser.choose(*members) == subset(ENTRIES[3], *members, 2, 2)
 
 
-def test_a_change_looks_again_only_at_what_it_touches(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One upstream or entry more or less costs a small part of the hashes of the first choice."""
+def test_single_change_does_not_recompute_the_whole_subset(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Adding or removing one member takes a small part of the hash calls of the first choice."""
     chooser, hashed = SubsetChooser("entry-3"), count_hashes(monkeypatch)
     chooser.choose(ENTRIES, UPSTREAMS)
     first, hashed[0] = hashed[0], 0
@@ -103,7 +103,7 @@
 
 
 def count_hashes(monkeypatch: pytest.MonkeyPatch) -> list[int]:
-    """Count the calls of the hash in the one item of the list returned."""
+    """Return a list whose single item counts the calls of the hash function."""
     counted, score = [0], rendezvous.score
 
     def counting(key: str, member: str) -> int:
--- a/tests/decisions/test_traces.py
+++ b/tests/decisions/test_traces.py
@@ -1,4 +1,4 @@
-"""Recorded traces of one upstream's queue, replayed against their stated outcomes."""
+"""Recorded traces of one upstream's queue, replayed and compared with their recorded results."""
 
 import json
 from datetime import timedelta
@@ -13,22 +13,22 @@
 
 
 @pytest.mark.parametrize("trace", TRACES, ids=lambda path: path.stem)
-def test_a_trace_gives_what_it_states(trace: Path) -> None:
-    """Each line is an act at a time on a queue of one slot; its outcome stands as `gives`."""
+def test_replayed_trace_gives_recorded_results(trace: Path) -> None:
+    """Each line is an operation at a time on a queue with one slot; `gives` is its result."""
     queue = WorkQueue(1)
     lines = [json.loads(line) for line in trace.read_text().splitlines()]
     assert "about" in lines[0]
     for line in lines[1:]:
-        assert act(queue, line, timedelta(seconds=line["at"])) == line.get("gives"), line
+        assert apply(queue, line, timedelta(seconds=line["at"])) == line.get("gives"), line
 
 
-def test_there_are_traces() -> None:
-    """A misplaced folder would make the replay pass with nothing in it."""
+def test_traces_are_found() -> None:
+    """If the folder of the traces moved, the replay test would pass without any cases."""
     assert len(TRACES) == 3
 
 
-def act(queue: WorkQueue, line: dict[str, Any], now: timedelta) -> object:
-    """Do what a line says and return what came of it, as ids."""
+def apply(queue: WorkQueue, line: dict[str, Any], now: timedelta) -> object:
+    """Apply the operation of a line and return the ids of the resulting items."""
     match line["do"]:
         case "push":
             queue.push(read_item(line, now))
@@ -45,12 +45,12 @@
 
 
 def id_of(item: WorkItem | None) -> int | str | None:
-    """Return an item's id."""
+    """Return the id of an item, or None without one."""
     return None if item is None else item.id
 
 
 def read_item(line: dict[str, Any], now: timedelta) -> WorkItem:
-    """Build the item that a line describes."""
+    """Return the work item that a line describes."""
     start_by = timedelta(seconds=line["start_by"])
     priority = Priority[line["priority"]]
     return WorkItem(line["id"], line["caller"], priority, line["tokens"], now, start_by)
--- a/tests/decisions/test_version_placement.py
+++ b/tests/decisions/test_version_placement.py
@@ -1,4 +1,4 @@
-"""Which engines load which version."""
+"""Which engines load which model version, and in which order."""
 
 from collections import Counter
 from datetime import timedelta
@@ -19,10 +19,10 @@
 
 
 @given(st.integers(1, 12), st.integers(1, 6), st.integers(0, 1))
-def test_every_model_has_engines_and_no_engine_is_crowded(
+def test_every_model_has_engines_and_engines_have_equally_many(
     engines: int, models: int, lag: int
 ) -> None:
-    """Parts are equal, and an engine has at most one model more than another."""
+    """An engine has at most one model more than another."""
     names = [f"e{number}" for number in range(engines)]
     placed = place_models({f"m{number}": lag for number in range(models)}, names)
     assert all(chosen for chosen in placed.values())
@@ -31,57 +31,59 @@
     assert max(counts) - min(counts) <= 1
 
 
-def test_nobody_to_place_on_is_no_error() -> None:
-    """No engines, no models: nothing to do."""
+def test_no_engines_or_models_is_no_error() -> None:
+    """Without engines or without models there is nothing to assign."""
     assert place_models({"m": 1}, []) == {"m": []}
     assert place_models({}, ENGINES) == {}
 
 
 @given(st.integers(2, 40), st.integers(1, 3))
-def test_halves_take_turns_and_a_step_is_always_served(steps: int, models: int) -> None:
-    """Version after version is loaded on one part; at each naming some engine fits the next step.
+def test_halves_alternate_and_an_engine_can_always_serve_the_step(steps: int, models: int) -> None:
+    """Each new version is loaded on half of the engines, while the others serve the next step.
 
-    A step allows the version before the named one. Engines load one after the other, so what
-    serves is looked at before any of them has begun. No engine loads two versions in a row, but for
-    the odd one.
+    A step allows the version before the requested one. Engines load one after the other, so the
+    engines that can serve are counted before any of them starts to load. No engine loads two
+    versions in a row, except the extra one of an odd number.
     """
-    part = part_of(models, len(ENGINES))
+    engines_per_version = part_of(models, len(ENGINES))
     chosen = place_models({f"m{number}": 1 for number in range(models)}, ENGINES)["m0"]
     versions = dict.fromkeys(chosen, 1)
     loads = 0
     for wanted in range(2, steps + 2):
         assert sum(version >= wanted - 1 for version in versions.values()) >= len(chosen) // 2
-        due = engines_to_load(versions, wanted, 1, part)
+        due = engines_to_load(versions, wanted, 1, engines_per_version)
         loads += len(due)
         versions |= dict.fromkeys(due, wanted)
         half = -(-len(chosen) // 2)
-        assert sum(version == wanted for version in versions.values()) >= min(part, half)
+        assert sum(version == wanted for version in versions.values()) >= min(
+            engines_per_version, half
+        )
     assert loads <= steps * half
 
 
-def test_the_oldest_engines_load_first() -> None:
-    """Engines that can serve nothing are of no use until they have loaded."""
+def test_engines_with_the_oldest_version_load_first() -> None:
+    """Engines whose version is too old for any step are useless until they have loaded."""
     assert engines_to_load({"a": 4, "b": 2, "c": 3}, 5, 1, 2) == ["b", "c"]
 
 
-def test_without_a_lag_every_engine_of_the_model_loads() -> None:
-    """A trainer that allows nothing older needs all of them."""
+def test_every_engine_loads_if_no_lag_is_allowed() -> None:
+    """A trainer that allows no older version needs all engines of its model."""
     assert engines_to_load({"a": 4, "b": 5, "c": 4}, 5, 0, 1) == ["a", "c"]
 
 
-def test_nothing_loads_twice() -> None:
-    """An engine that serves a newer version than the named one is left alone."""
+def test_engine_with_a_newer_version_does_not_load() -> None:
+    """An engine that serves a newer version than the requested one does not load."""
     assert engines_to_load({"a": 6, "b": 5}, 5, 1, 2) == []
 
 
-def _need(model: str, wanted: int, named_at: float, **versions: int) -> ModelNeed:
-    return ModelNeed(model, wanted, 1, timedelta(seconds=named_at), versions)
+def _need(model: str, wanted: int, requested_at: float, **versions: int) -> ModelNeed:
+    return ModelNeed(model, wanted, 1, timedelta(seconds=requested_at), versions)
 
 
-def test_the_model_that_fewest_engines_serve_loads_first() -> None:
-    """Three trainers name versions; one of them has no engine left for its next step.
+def test_model_with_the_fewest_serving_engines_loads_first() -> None:
+    """Three trainers request versions, and one of them has no engine for its next step.
 
-    It goes first, though its name comes last and its version was named last.
+    Its model loads first, although it is last by name and by time of request.
     """
     needs = [
         _need("a", 7, 1.0, e1=6, e2=6),
@@ -95,13 +97,11 @@
 
 
 @given(st.integers(2, 4), st.integers(4, 30))
-def test_no_model_waits_behind_others_while_its_step_is_not_served(
-    models: int, rounds: int
-) -> None:
-    """Every model is named a new version each round, and two engines load in a round.
+def test_no_model_is_starved_while_its_step_is_not_served(models: int, rounds: int) -> None:
+    """Every trainer requests a new version each round, and two engines load per round.
 
-    That is enough for four models, each of which needs a load in every second round; taken by their
-    names, the last of three would get none.
+    That is enough for four models, each of which needs a load in every second round. In order of
+    their names, the last of three would get none.
     """
     names = [f"m{number}" for number in range(models)]
     engines = [f"e{number}" for number in range(2 * models)]
@@ -121,6 +121,6 @@
         assert all(max(versions.values()) >= number + 1 for versions in served.values())
 
 
-def test_small_services_load_two_at_a_time_and_large_ones_a_share() -> None:
+def test_small_services_load_two_at_once_and_large_ones_a_fraction() -> None:
     """Two of five or six; eight of twenty."""
     assert [loads_at_once(count) for count in (1, 5, 6, 20)] == [2, 2, 2, 8]
