--- a/bench/capacity/weights.py
+++ b/bench/capacity/weights.py
@@ -11,7 +11,7 @@
 
 from cranberryline.configs.fold import ConfigFold
 from cranberryline.configs.relay import ConfigRelay, RelayPort
-from cranberryline.decisions import ShiftSettings
+from cranberryline.decisions import SwapSettings
 from cranberryline.helpers.clock import SystemClock
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.ports.errors import PlatformError, PlatformReason
@@ -184,7 +184,7 @@
             rows.append(row)
             print_line(_PART, **row)
         print_fits(f"{_PART} at {rate:g}/s", rows, "samplers", ["seconds_to_all"], SAMPLERS)
-    swap = ShiftSettings().swap_time
+    swap = SwapSettings().swap_time
     print_line(
         _PART,
         wanted_s=_WANTED.total_seconds(),
--- a/bench/model/baselines.py
+++ b/bench/model/baselines.py
@@ -202,7 +202,7 @@
 
     ahead: int = 0
 
-    def start(self, view: RolloutView, room: int) -> tuple[StartSamples, ...]:
+    def start(self, view: RolloutView, free_slots: int) -> tuple[StartSamples, ...]:
         """Start everything of the steps that may start, whatever room there is."""
         return tuple(
             StartSamples(group.id, group.samples, view.sampler_version)
--- a/bench/model/trainer.py
+++ b/bench/model/trainer.py
@@ -188,9 +188,9 @@
             until_pull=timedelta(seconds=max(0.0, (self._training_until or now) - now)),
             step_time=timedelta(seconds=self._step_time),
             sampler_version=newest,
-            room=room,
+            free_slots=room,
             sample_tokens_per_second=median(self._paces) if self._paces else SPEED_GUESS,
-            first_token=FIRST_TOKEN,
+            time_to_first_token=FIRST_TOKEN,
             steps={
                 step: StepView(size, sum(group.early for group in groups))
                 for step, groups in self._steps.items()
--- a/bench/model/weights.py
+++ b/bench/model/weights.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from cranberryline.decisions import ShiftSettings, swap_delay
+from cranberryline.decisions import SwapSettings, swap_delay
 
 from .metrics import Metrics
 from .side import Side
@@ -46,7 +46,7 @@
         sim: Simulation,
         sides: Sequence[Side],
         store: WeightStore,
-        settings: ShiftSettings,
+        settings: SwapSettings,
         paced: bool,
         metrics: Metrics,
         rng: Random,
--- a/bench/model/world.py
+++ b/bench/model/world.py
@@ -12,7 +12,7 @@
     RolloutPolicy,
     RolloutSettings,
     RoutingPolicy,
-    ShiftSettings,
+    SwapSettings,
     WorkQueue,
 )
 
@@ -61,7 +61,7 @@
         sim,
         sides,
         WeightStore(deployment.store_rate),
-        ShiftSettings(store_rate=deployment.store_rate),
+        SwapSettings(store_rate=deployment.store_rate),
         decisions.paced_swaps,
         metrics,
         Random(f"{seed}/swaps"),
--- a/bench/steps/nodes.py
+++ b/bench/steps/nodes.py
@@ -10,8 +10,8 @@
 from bench.model.simulation import Simulation
 from cranberryline.decisions import RouteRequest, RoutingPolicy, UpstreamView
 from cranberryline.decisions.excluded_upstreams import next_excluded
-from cranberryline.decisions.lengths import TextLengths
-from cranberryline.decisions.moving import MOST_MOVES, EnginePaces, faster_elsewhere
+from cranberryline.decisions.lengths import TextLengthEstimator
+from cranberryline.decisions.moving import MAX_MOVES, EngineRates, should_move
 from cranberryline.decisions.rate_meter import RateMeter
 from cranberryline.decisions.upstream_cooldown import UpstreamCooldowns
 
@@ -61,8 +61,8 @@
         self._rng = rng
         self._out = out
         self._own: list[_Own] = []
-        self._lengths = TextLengths()
-        self._paces = EnginePaces()
+        self._lengths = TextLengthEstimator()
+        self._paces = EngineRates()
         self._turns: dict[str, RateMeter] = {name: RateMeter() for name in self._engines}
         self._away = UpstreamCooldowns()
         self._watching = False
@@ -129,7 +129,7 @@
             crowd = max(1.0, self._out.unfinished / max(len(self._own), 1))
         pace = self._turns[name].tokens_per_second(self._sim.now)
         if self._policy.paces:
-            tokens = self._lengths.tokens_an_event or 0.0
+            tokens = self._lengths.tokens_per_event or 0.0
             pace = tokens * self._paces.events_per_second(name, self._sim.now)
         return UpstreamView(
             name,
@@ -155,10 +155,10 @@
         made = own.text.made - own.told_made
         spent = min(_WATCH, self._sim.seconds - (run.began or 0.0))
         own.told_made = own.text.made
-        self._paces.heard(engine.name, round(made), timedelta(seconds=spent), self._sim.now)
+        self._paces.record(engine.name, round(made), timedelta(seconds=spent), self._sim.now)
 
     def _slower(self, own: _Own, engine: Engine) -> bool:
-        if not self._policy.leave or own.text.moves >= MOST_MOVES:
+        if not self._policy.leave or own.text.moves >= MAX_MOVES:
             return False
         now = self._sim.now
         left = self._lengths.events_left(
@@ -169,7 +169,7 @@
             for name in self._engines
             if name != engine.name and name not in own.text.avoid and self._held(name) < self._slots
         ]
-        return faster_elsewhere(left, self._paces.events_per_second(engine.name, now), others)
+        return should_move(left, self._paces.events_per_second(engine.name, now), others)
 
     def _leave(self, own: _Own, engine: Engine, run: Run) -> None:
         engine.stop(run)
@@ -183,7 +183,7 @@
         if own.engine is not None and own.run is not None and own.run.began is not None:
             spent = timedelta(seconds=self._sim.seconds - own.run.sent)
             self._turns[own.engine.name].record(own.tokens, spent, self._sim.now)
-        self._lengths.learn(own.text.told, own.text.length)
+        self._lengths.record_completed(own.text.told, own.text.length)
         self._own.remove(own)
         own.run = None
         own.owner.ended(own.text)
--- a/bench/steps/trainer.py
+++ b/bench/steps/trainer.py
@@ -77,7 +77,7 @@
         for name, node in self._nodes.items():
             place = placed[name]
             mine = [text for text in texts if place.start_delay(f"{step}/{text.group}") == ZERO]
-            if place.in_team and mine:
+            if place.is_assigned and mine:
                 node.run_all(mine, self.number, asked)
         self._sim.after(self._load.limit, asked.give_up)
 
--- a/cranberryline/decisions/__init__.py
+++ b/cranberryline/decisions/__init__.py
@@ -1,6 +1,6 @@
-"""Decisions under load, free of network, clock and log.
+"""Policies for load balancing, admission, retries and rollouts, without network, clock or log.
 
-Each module is one decision; its docstring names the load that it answers.
+Each module holds one policy.
 """
 
 from .admission import (
@@ -33,7 +33,7 @@
 )
 from .routing import RouteRequest, RoutingPolicy, UpstreamView, free_slots
 from .subset import SubsetChooser, subset
-from .weight_shift import ShiftPlan, ShiftSettings, hashed_swap_delay, swap_delay
+from .weight_swap import SwapSchedule, SwapSettings, hashed_swap_delay, swap_delay
 
 __all__ = [
     "AdmissionLimits",
@@ -68,8 +68,8 @@
     "RouteRequest",
     "RoutingPolicy",
     "SampleView",
-    "ShiftPlan",
-    "ShiftSettings",
+    "SwapSchedule",
+    "SwapSettings",
     "StartSamples",
     "StepView",
     "StragglerAction",
--- a/cranberryline/decisions/job_placement.py
+++ b/cranberryline/decisions/job_placement.py
@@ -50,12 +50,12 @@
         self._assigned, self._others = ranked[:count], ranked[count:]
 
     @property
-    def team_size(self) -> int:
+    def assigned_node_count(self) -> int:
         """Return the number of nodes that the job is assigned to."""
         return len(self._assigned)
 
     @property
-    def in_team(self) -> bool:
+    def is_assigned(self) -> bool:
         """Return whether the job is assigned to this node."""
         return self._node in self._assigned
 
--- a/cranberryline/decisions/lengths.py
+++ b/cranberryline/decisions/lengths.py
@@ -7,7 +7,7 @@
 from collections import deque
 from statistics import median
 
-__all__ = ["TextLengths"]
+__all__ = ["TextLengthEstimator"]
 
 # Number of completed texts in the median of tokens per event.
 RATIO_WINDOW = 65
@@ -18,7 +18,7 @@
 _MIN_EVENTS_LEFT = 4.0
 
 
-class TextLengths:
+class TextLengthEstimator:
     """Estimates remaining lengths from the callers' estimates and the lengths of completed texts.
 
     A caller may state how many tokens it expects. Such an estimate is right at the median, and off
@@ -33,11 +33,11 @@
         self._tokens_per_event: float | None = None
 
     @property
-    def tokens_an_event(self) -> float | None:
+    def tokens_per_event(self) -> float | None:
         """Return the tokens per event, or None before any text with an estimate has completed."""
         return self._tokens_per_event
 
-    def learn(self, expected_tokens: int, events: int) -> None:
+    def record_completed(self, expected_tokens: int, events: int) -> None:
         """Record a completed text of `events` events.
 
         `expected_tokens` is the caller's estimate, or 0 without one.
--- a/cranberryline/decisions/moving.py
+++ b/cranberryline/decisions/moving.py
@@ -9,7 +9,7 @@
 
 from .rate_meter import RateMeter
 
-__all__ = ["MOST_MOVES", "EnginePaces", "faster_elsewhere"]
+__all__ = ["MAX_MOVES", "EngineRates", "should_move"]
 
 # Half-life of an engine's event rate: about twenty events of one run. Long enough that the prefill
 # of another prompt between two events does not count as a slow engine, short enough to detect a
@@ -24,21 +24,21 @@
 # Time that a move must save on top of its cost, so that short texts, texts that are nearly complete
 # and texts on engines of nearly equal speed stay where they are.
 MIN_NET_SAVING = timedelta(milliseconds=300)
-# Least ratio of the other engine's rate to the current one's. With `MOST_MOVES` it keeps two
+# Least ratio of the other engine's rate to the current one's. With `MAX_MOVES` it keeps two
 # engines from sending a text back and forth.
 MIN_SPEEDUP = 1.15
 # Most moves of one text.
-MOST_MOVES = 3
+MAX_MOVES = 3
 
 
-class EnginePaces:
+class EngineRates:
     """Recent event rates of single runs on each engine, as observed by this node."""
 
     def __init__(self) -> None:
         self._meters: dict[str, RateMeter] = {}
         self._recorded_at: dict[str, timedelta] = {}
 
-    def heard(self, upstream: str, events: int, spent: timedelta, now: timedelta) -> None:
+    def record(self, upstream: str, events: int, spent: timedelta, now: timedelta) -> None:
         """Record `events` of one run that arrived `spent` after the run's previous events."""
         meter = self._meters.get(upstream)
         if meter is None:
@@ -60,7 +60,7 @@
         return 0.0 if meter is None else meter.tokens_per_second(now)
 
 
-def faster_elsewhere(events_left: float, here: float, elsewhere: Iterable[float]) -> bool:
+def should_move(events_left: float, here: float, elsewhere: Iterable[float]) -> bool:
     """Return whether a text should move to another engine, after the last complete event.
 
     `here` is the rate of the text's own engine and `elsewhere` are those of engines with a free
--- a/cranberryline/decisions/rollout.py
+++ b/cranberryline/decisions/rollout.py
@@ -121,10 +121,10 @@
     """A trainer's work as seen by the entry that owns the trainer.
 
     The trainer pulls `next_step` next, at version `version_at_pull`, in about `until_pull`, and
-    `step_time` is the time between two pulls. The samplers serve `sampler_version`, and `room` is
-    how many samples they can start without queueing. `sample_tokens_per_second` and `first_token`
-    (the time to the first token) are medians of the samples in flight. `waiting` are the groups
-    with samples not yet started.
+    `step_time` is the time between two pulls. The samplers serve `sampler_version`, and
+    `free_slots` is how many samples they can start without queueing. `sample_tokens_per_second` and
+    `time_to_first_token` (the time to the first token) are medians of the samples in flight.
+    `waiting` are the groups with samples not yet started.
     """
 
     next_step: int
@@ -132,9 +132,9 @@
     until_pull: timedelta
     step_time: timedelta
     sampler_version: int
-    room: int
+    free_slots: int
     sample_tokens_per_second: float
-    first_token: timedelta
+    time_to_first_token: timedelta
     steps: Mapping[int, StepView]
     waiting: Sequence[GroupView]
     in_flight: Sequence[SampleView] = ()
@@ -180,10 +180,10 @@
         """Return what to do now; moved stragglers take their slots before new samples."""
         stragglers = self.stragglers(view)
         moved = sum(decision.action is not StragglerAction.GIVE_UP for decision in stragglers)
-        return RolloutPlan(stragglers, self.start(view, view.room - moved))
+        return RolloutPlan(stragglers, self.start(view, view.free_slots - moved))
 
-    def start(self, view: RolloutView, room: int) -> tuple[StartSamples, ...]:
-        """Return the samples to start in `room` free slots, the most urgent first.
+    def start(self, view: RolloutView, free_slots: int) -> tuple[StartSamples, ...]:
+        """Return the samples to start in `free_slots` free slots, the most urgent first.
 
         A sample's staleness is known at its start: its step is pulled at an expected version, and
         its oldest segment has the version that the samplers serve now. A sample that is expected to
@@ -196,25 +196,25 @@
         smallest `k` that keeps it within one common wait (`_common_wait`). What is left of the
         allowance goes to the most urgent samples.
         """
-        reserve = int((len(view.in_flight) + view.room) * MOVE_SLOT_FRACTION)
+        reserve = int((len(view.in_flight) + view.free_slots) * MOVE_SLOT_FRACTION)
         waits: dict[int, float] = {}
         unspent: dict[int, int] = {}
         starts = []
         for group in sorted(view.waiting, key=lambda group: (_latest_start(view, group), group.id)):
-            if room <= 0:
+            if free_slots <= 0:
                 break
             if group.step not in waits:
                 waits[group.step] = wait = self._common_wait(view, group.step)
                 unspent[group.step] = self._unspent(view, group.step, wait)
             early = _staleness(view, group.step, view.sampler_version) > 0
-            count = min(group.samples, room - reserve if early else room)
+            count = min(group.samples, free_slots - reserve if early else free_slots)
             extra = self._excess_versions(view, group, waits[group.step])
             if extra > 0:
                 count = min(count, unspent[group.step] // extra)
             if count <= 0:
                 continue
             unspent[group.step] -= max(0, extra) * count
-            room -= count
+            free_slots -= count
             starts.append(StartSamples(group.id, count, view.sampler_version))
         return tuple(starts)
 
@@ -236,7 +236,7 @@
             if sample.id not in given_up and (saving := _saving(view, sample)) >= MIN_MOVE_SAVING
         ]
         slow.sort(key=lambda pair: (-pair[0], pair[1].id))
-        moves = min(view.room, max(1, int(len(view.in_flight) * MAX_MOVE_FRACTION)))
+        moves = min(view.free_slots, max(1, int(len(view.in_flight) * MAX_MOVE_FRACTION)))
         decisions += [
             StragglerDecision(sample.id, _straggler_action(sample)) for _, sample in slow[:moves]
         ]
@@ -328,8 +328,8 @@
 
 def _duration(view: RolloutView, tokens: float) -> timedelta:
     if view.sample_tokens_per_second <= 0:
-        return view.first_token
-    return view.first_token + timedelta(seconds=tokens / view.sample_tokens_per_second)
+        return view.time_to_first_token
+    return view.time_to_first_token + timedelta(seconds=tokens / view.sample_tokens_per_second)
 
 
 def _remaining_tokens(sample: SampleView) -> float:
@@ -360,7 +360,7 @@
 ) -> timedelta:
     """Return the expected time until the sample ends at its current upstream, or 0 if unknown."""
     # A stalled sample always passes the thresholds for a move; the longest stalled is moved first.
-    if sample.since_progress > max(view.first_token * STALL_FACTOR, MIN_STALL_TIME):
+    if sample.since_progress > max(view.time_to_first_token * STALL_FACTOR, MIN_STALL_TIME):
         return elsewhere * MIN_MOVE_SPEEDUP + MIN_MOVE_SAVING + sample.since_progress
     if sample.tokens_per_second <= 0:
         return ZERO
--- a/cranberryline/decisions/routing.py
+++ b/cranberryline/decisions/routing.py
@@ -46,7 +46,7 @@
     The `own` counts are this entry's outstanding work; the `reported` ones come from the load
     report of `report_age` and include all entries. `tokens_per_second` is the measured rate of a
     single request, or 0 without a recent measurement. `connected` means that a kept connection is
-    idle. `resting` means that the upstream has just rejected a request without running it.
+    idle. `recently_refused` means that the upstream has just rejected a request without running it.
     """
 
     id: str
@@ -62,7 +62,7 @@
     health: HealthView = HealthView()
     draining: bool = False
     connected: bool = False
-    resting: bool = False
+    recently_refused: bool = False
 
 
 @attrs.frozen
@@ -107,7 +107,7 @@
         due goes first, as one request.
         """
         eligible = [upstream for upstream in upstreams if _is_eligible(upstream, req)]
-        eligible = [upstream for upstream in eligible if not upstream.resting] or eligible
+        eligible = [upstream for upstream in eligible if not upstream.recently_refused] or eligible
         if req.may_probe:
             probes = [upstream.id for upstream in eligible if upstream.health.probe_due]
             if probes:
--- a/cranberryline/decisions/scoring.py
+++ b/cranberryline/decisions/scoring.py
@@ -7,7 +7,7 @@
 
 import math
 
-__all__ = ["MAX_SCORING_FRACTION", "scoring_places"]
+__all__ = ["MAX_SCORING_FRACTION", "scoring_concurrency_limit"]
 
 # Fraction of a service's concurrency that scoring may use. The rest is ten times what callers use
 # at the peak of the known deployments. With half, a node with the items of three trainers took up
@@ -15,7 +15,7 @@
 MAX_SCORING_FRACTION = 0.7
 
 
-def scoring_places(concurrency: int, own_assignments: int, all_assignments: int) -> int:
+def scoring_concurrency_limit(concurrency: int, own_assignments: int, all_assignments: int) -> int:
     """Return how many scoring requests a node may have in flight at a service, at least 1.
 
     `concurrency` is the number of requests that the service runs at once. Scoring's share of it is
--- a/cranberryline/decisions/version_placement.py
+++ b/cranberryline/decisions/version_placement.py
@@ -12,7 +12,14 @@
 
 from . import rendezvous
 
-__all__ = ["ModelNeed", "engines_to_load", "loads_at_once", "next_load", "part_of", "place_models"]
+__all__ = [
+    "ModelNeed",
+    "engines_to_load",
+    "max_concurrent_loads",
+    "next_load",
+    "count_engines_per_version",
+    "place_models",
+]
 
 # Fraction of a service's engines that may load at once. With less, a version of several models is
 # late on most engines of a large service; with more, too few engines are left to run the steps.
@@ -57,12 +64,12 @@
         return (self.serving_engines, -self.versions_behind, self.requested_at, self.model)
 
 
-def loads_at_once(engines: int) -> int:
+def max_concurrent_loads(engines: int) -> int:
     """Return how many of a service's engines may load at once."""
     return max(MIN_CONCURRENT_LOADS, int(engines * MAX_LOADING_FRACTION))
 
 
-def part_of(models: int, engines: int) -> int:
+def count_engines_per_version(models: int, engines: int) -> int:
     """Return the number of engines that load each version of a model: an equal share, rounded up.
 
     Loading every version on every engine would stop all engines for a second at the start of each
@@ -85,7 +92,7 @@
     """
     if not lags or not engines:
         return {name: [] for name in lags}
-    engines_per_version = part_of(len(lags), len(engines))
+    engines_per_version = count_engines_per_version(len(lags), len(engines))
     model_counts: Counter[str] = Counter()
     placed: dict[str, list[str]] = {}
     for name in sorted(lags):
--- a/cranberryline/decisions/weight_shift.py
+++ b/cranberryline/decisions/weight_swap.py
@@ -12,7 +12,7 @@
 from . import rendezvous
 from .const import ZERO
 
-__all__ = ["ShiftPlan", "ShiftSettings", "hashed_swap_delay", "swap_delay"]
+__all__ = ["SwapSchedule", "SwapSettings", "hashed_swap_delay", "swap_delay"]
 
 _SCORE_BITS = 8 * rendezvous.SCORE_BYTES
 # Fetches per second.
@@ -20,29 +20,30 @@
 # Fraction of a service's members that may swap at once. For 7,300 samplers within 6 s, at about a
 # second per swap, 7,300 / 5 s = 1,460 swaps start per second, a fifth of the members at once. The
 # store, or caches in front of it, must serve 1,460 fetches per second for that; for a slower one
-# see `ShiftSettings.time_to_swap_all`.
+# see `SwapSettings.time_to_swap_all`.
 DEFAULT_MAX_SWAPPING_FRACTION = 0.25
 DEFAULT_SWAP_TIME = timedelta(seconds=1)
 
 
 @attrs.frozen
-class ShiftSettings:
+class SwapSettings:
     """Operator settings for swaps.
 
-    `store_rate` is the store's limit in fetches per second, `max_swapping` the fraction of members
-    that may swap at once, and `swap_time` the time of one swap.
+    `store_rate` is the store's limit in fetches per second, `max_swapping_fraction` the fraction of
+    members that may swap at once, and `swap_time` the time of one swap.
     """
 
     store_rate: float = DEFAULT_FETCHES_PER_SECOND
-    max_swapping: float = DEFAULT_MAX_SWAPPING_FRACTION
+    max_swapping_fraction: float = DEFAULT_MAX_SWAPPING_FRACTION
     swap_time: timedelta = DEFAULT_SWAP_TIME
 
     def swaps_per_second(self, members: int) -> float:
         """Return how many swaps start per second.
 
-        This is the store's rate, or less where more than `max_swapping` would swap at once.
+        This is the store's rate, or less where more than `max_swapping_fraction` would swap at
+        once.
         """
-        at_once = max(1.0, self.max_swapping * members)
+        at_once = max(1.0, self.max_swapping_fraction * members)
         return min(self.store_rate, at_once / self.swap_time.total_seconds())
 
     def time_to_swap_all(self, members: int) -> timedelta:
@@ -53,7 +54,7 @@
 
 
 @attrs.frozen
-class ShiftPlan:
+class SwapSchedule:
     """A member's position in the order of swaps, and the delay of its swap."""
 
     position: int
@@ -61,8 +62,8 @@
 
 
 def swap_delay(
-    member: str, members: Collection[str], model: str, version: int, settings: ShiftSettings
-) -> ShiftPlan:
+    member: str, members: Collection[str], model: str, version: int, settings: SwapSettings
+) -> SwapSchedule:
     """Return when a member swaps to a version, as a delay from when the version takes effect.
 
     Each side process computes its own position by rendezvous hashing of the version, so the order
@@ -74,14 +75,14 @@
     key = f"{model}@{version}"
     own = (rendezvous.score(key, member), member)
     position = sum((rendezvous.score(key, other), other) > own for other in members)
-    return ShiftPlan(
+    return SwapSchedule(
         position, timedelta(seconds=position / settings.swaps_per_second(len(members)))
     )
 
 
 def hashed_swap_delay(
-    member: str, count: int, model: str, version: int, settings: ShiftSettings
-) -> ShiftPlan:
+    member: str, count: int, model: str, version: int, settings: SwapSettings
+) -> SwapSchedule:
     """Return when a member swaps to a version, given only the number of members.
 
     Used for services too large to send every member the list of all. The hash is scaled to a
@@ -89,4 +90,4 @@
     instead of exactly 100 as with `swap_delay`.
     """
     position = rendezvous.score(f"{model}@{version}", member) * count >> _SCORE_BITS
-    return ShiftPlan(position, timedelta(seconds=position / settings.swaps_per_second(count)))
+    return SwapSchedule(position, timedelta(seconds=position / settings.swaps_per_second(count)))
--- a/cranberryline/dispatch/upstreams.py
+++ b/cranberryline/dispatch/upstreams.py
@@ -84,7 +84,7 @@
             health=_HEALTH.view(self.health, now),
             draining=self.peer.draining,
             connected=self.peer.connected,
-            resting=now < self._rests_until,
+            recently_refused=now < self._rests_until,
         )
 
     def _own_requests(self) -> int:
--- a/cranberryline/jobs/item.py
+++ b/cranberryline/jobs/item.py
@@ -7,7 +7,7 @@
 
 from cranberryline.decisions.excluded_upstreams import next_excluded
 from cranberryline.decisions.hedging import scoring_hedge_delay
-from cranberryline.decisions.moving import MOST_MOVES
+from cranberryline.decisions.moving import MAX_MOVES
 from cranberryline.dispatch.errors import Ran, Refusal, RefusalReason
 from cranberryline.dispatch.model import CallerClass, CallerRequest
 from cranberryline.dispatch.repeated import RepeatedRequest
@@ -189,7 +189,7 @@
         self.text_ended_at = self.context.clock.monotonic()
         self.phases.run_ended(self.text_ended_at, complete)
         if complete:
-            self.context.lengths.learn(self.item.told_tokens, len(self.text.events))
+            self.context.lengths.record_completed(self.item.told_tokens, len(self.text.events))
             return False
         if isinstance(outcome, Ok) and sink.status == STATUS_UNPROCESSABLE:
             return True
@@ -267,14 +267,14 @@
                 task.cancel()
 
     def _may_move(self) -> bool:
-        return self.phases.stage == "text" and self._moves < MOST_MOVES
+        return self.phases.stage == "text" and self._moves < MAX_MOVES
 
     def _tokens_left(self) -> int:
         return self.context.lengths.tokens_left(self.item.told_tokens, len(self.text.events))
 
     def _tokens_per_second(self, upstream: str) -> float:
         """Return the tokens per second that an engine generates for one text, or 0 if unknown."""
-        tokens = self.context.lengths.tokens_an_event
+        tokens = self.context.lengths.tokens_per_event
         now = self.context.clock.monotonic()
         return (
             0.0 if tokens is None else tokens * self.context.paces.events_per_second(upstream, now)
--- a/cranberryline/jobs/item_context.py
+++ b/cranberryline/jobs/item_context.py
@@ -7,8 +7,8 @@
 import attrs
 
 from cranberryline.decisions.hedging import HedgeBudget
-from cranberryline.decisions.lengths import TextLengths
-from cranberryline.decisions.moving import EnginePaces
+from cranberryline.decisions.lengths import TextLengthEstimator
+from cranberryline.decisions.moving import EngineRates
 from cranberryline.decisions.upstream_cooldown import UpstreamCooldowns
 from cranberryline.dispatch.dispatch import Dispatcher
 from cranberryline.helpers.clock import Clock
@@ -53,5 +53,5 @@
     # Monotonic time of the last byte from each upstream.
     last_received_at: dict[str, timedelta] = attrs.field(factory=dict)
     rejecting_upstreams: UpstreamCooldowns = attrs.field(factory=UpstreamCooldowns)
-    lengths: TextLengths = attrs.field(factory=TextLengths)
-    paces: EnginePaces = attrs.field(factory=EnginePaces)
+    lengths: TextLengthEstimator = attrs.field(factory=TextLengthEstimator)
+    paces: EngineRates = attrs.field(factory=EngineRates)
--- a/cranberryline/jobs/run_monitor.py
+++ b/cranberryline/jobs/run_monitor.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from cranberryline.decisions.moving import faster_elsewhere
+from cranberryline.decisions.moving import should_move
 from cranberryline.dispatch.model import CallerRequest
 
 from .events import ItemText
@@ -55,7 +55,7 @@
             for upstream in self._context.dispatcher.with_room(self._req.service)
             if upstream != self._sink.upstream and self._may_serve(upstream)
         ]
-        return faster_elsewhere(events_left, current_pace, other_paces)
+        return should_move(events_left, current_pace, other_paces)
 
     def _may_serve(self, upstream: str) -> bool:
         req = self._req
--- a/cranberryline/jobs/runner.py
+++ b/cranberryline/jobs/runner.py
@@ -222,10 +222,10 @@
         plans = sorted(self._plans.values(), key=lambda plan: plan.seen_at)
         placements = {plan.trainer: plan.placement for plan in plans if plan.tail.at_end}
         self._context.scoring_slots.own_shares = sum(
-            placement.in_team for placement in placements.values()
+            placement.is_assigned for placement in placements.values()
         )
         self._context.scoring_slots.total_shares = sum(
-            placement.team_size for placement in placements.values()
+            placement.assigned_node_count for placement in placements.values()
         )
 
     def _get_plan(self, state: JobState) -> JobPlan | None:
--- a/cranberryline/jobs/scoring.py
+++ b/cranberryline/jobs/scoring.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import AsyncIterator, Callable
 
-from cranberryline.decisions.scoring import scoring_places
+from cranberryline.decisions.scoring import scoring_concurrency_limit
 
 __all__ = ["ScoringSlots"]
 
@@ -39,5 +39,7 @@
                 self._released.notify_all()
 
     def _has_slot(self, service: str) -> bool:
-        allowed = scoring_places(self._slots(service), self.own_shares, self.total_shares)
+        allowed = scoring_concurrency_limit(
+            self._slots(service), self.own_shares, self.total_shares
+        )
         return self._in_use[service] < allowed
--- a/cranberryline/jobs/sink.py
+++ b/cranberryline/jobs/sink.py
@@ -111,7 +111,7 @@
     def _record_pace(self, events: int, now: timedelta) -> None:
         """Record the pace of events, except the first of a request, which may have been queued."""
         if self._last_event_at is not None:
-            self._context.paces.heard(self.upstream, events, now - self._last_event_at, now)
+            self._context.paces.record(self.upstream, events, now - self._last_event_at, now)
         self._last_event_at = now
 
     def _check_version(self) -> None:
--- a/cranberryline/samples/pacing.py
+++ b/cranberryline/samples/pacing.py
@@ -133,9 +133,9 @@
             until_pull=until_pull,
             step_time=self._step_time,
             sampler_version=newest_version,
-            room=room,
+            free_slots=room,
             sample_tokens_per_second=self._tokens_per_second,
-            first_token=timedelta(),
+            time_to_first_token=timedelta(),
             steps={step: StepView(w.samples, w.versions_early) for step, w in work.items()},
             waiting=self._groups(work),
         )
--- a/cranberryline/side/weights.py
+++ b/cranberryline/side/weights.py
@@ -9,7 +9,7 @@
 
 from cranberryline.configs.model import ServiceSpec
 from cranberryline.configs.supervise import async_keep_running
-from cranberryline.decisions.weight_shift import ShiftSettings, hashed_swap_delay, swap_delay
+from cranberryline.decisions.weight_swap import SwapSettings, hashed_swap_delay, swap_delay
 from cranberryline.helpers.clock import Clock
 from cranberryline.helpers.logging import once_per_burst
 from cranberryline.helpers.metrics import Metrics
@@ -67,8 +67,8 @@
 
     def delay(self, spec: ServiceSpec, version: int) -> timedelta:
         """Return the delay of this member's turn."""
-        settings = ShiftSettings(
-            store_rate=spec.fetches_per_second, max_swapping=spec.swap_fraction
+        settings = SwapSettings(
+            store_rate=spec.fetches_per_second, max_swapping_fraction=spec.swap_fraction
         )
         members = {*self._members(), self._vm_id}
         count = self._count()
--- a/cranberryline/weights/shift.py
+++ b/cranberryline/weights/shift.py
@@ -9,9 +9,9 @@
 
 from cranberryline.decisions.version_placement import (
     ModelNeed,
-    loads_at_once,
+    count_engines_per_version,
+    max_concurrent_loads,
     next_load,
-    part_of,
     place_models,
 )
 from cranberryline.helpers.clock import Clock
@@ -114,10 +114,10 @@
         for service, engines in self._engines().items():
             by_id = {engine.id: engine for engine in engines}
             lags = {model: self._lag(model) for model in self._models(service)}
-            part = part_of(len(lags), len(by_id))
+            part = count_engines_per_version(len(lags), len(by_id))
             places = place_on_engines(lags, engines)
             loading = len(self._loading.keys() & by_id.keys())
-            for _ in range(loads_at_once(len(by_id)) - loading):
+            for _ in range(max_concurrent_loads(len(by_id)) - loading):
                 needs = [self._need(model, lags[model], places[model], by_id) for model in lags]
                 chosen = next_load(needs, part, self._loading)
                 if chosen is None:
--- a/tests/decisions/test_hedging.py
+++ b/tests/decisions/test_hedging.py
@@ -9,7 +9,7 @@
     hedge_delay,
     scoring_hedge_delay,
 )
-from cranberryline.decisions.scoring import MAX_SCORING_FRACTION, scoring_places
+from cranberryline.decisions.scoring import MAX_SCORING_FRACTION, scoring_concurrency_limit
 
 
 def test_hedge_is_sent_early_enough_to_meet_the_goal() -> None:
@@ -42,8 +42,8 @@
 
 def test_scoring_leaves_capacity_to_callers() -> None:
     """All nodes together stay near scoring's share, and each may always send one request."""
-    assert 6 * scoring_places(24, 1, 6) <= 24
-    assert scoring_places(24, 6, 6) <= 24 * MAX_SCORING_FRACTION + 1
-    assert scoring_places(24, 3, 6) > scoring_places(24, 1, 6)
-    assert scoring_places(0, 1, 6) == 1
-    assert scoring_places(10, 0, 0) >= 1
+    assert 6 * scoring_concurrency_limit(24, 1, 6) <= 24
+    assert scoring_concurrency_limit(24, 6, 6) <= 24 * MAX_SCORING_FRACTION + 1
+    assert scoring_concurrency_limit(24, 3, 6) > scoring_concurrency_limit(24, 1, 6)
+    assert scoring_concurrency_limit(0, 1, 6) == 1
+    assert scoring_concurrency_limit(10, 0, 0) >= 1
--- a/tests/decisions/test_job_placement.py
+++ b/tests/decisions/test_job_placement.py
@@ -43,7 +43,7 @@
 
 def test_jobs_of_a_trainer_are_assigned_to_the_same_nodes() -> None:
     """The same nodes run each step of a trainer, so that their connections are reused."""
-    assigned = {node for node in NODES if JobPlacement("m", 104, node, NODES).in_team}
+    assigned = {node for node in NODES if JobPlacement("m", 104, node, NODES).is_assigned}
     assert len(assigned) == -(-104 // ITEMS_PER_NODE)
     firsts = {_starting_at_once("m", 104, f"g{number}", NODES)[0] for number in range(40)}
     assert firsts == assigned
--- a/tests/decisions/test_rollout.py
+++ b/tests/decisions/test_rollout.py
@@ -34,9 +34,9 @@
         "until_pull": timedelta(seconds=30),
         "step_time": STEP,
         "sampler_version": 4,
-        "room": 1000,
+        "free_slots": 1000,
         "sample_tokens_per_second": 50.0,
-        "first_token": timedelta(seconds=0.5),
+        "time_to_first_token": timedelta(seconds=0.5),
         "steps": {step: StepView(32, 0) for step in (5, 6, 7)},
         "waiting": groups,
         "in_flight": (),
@@ -114,10 +114,12 @@
 
     A step that the trainer waits for gets all free slots; early starts leave 15% of them for moves.
     """
-    ready = view(room=10, until_pull=timedelta(), sampler_version=5, steps={5: StepView(32, 0)})
+    ready = view(
+        free_slots=10, until_pull=timedelta(), sampler_version=5, steps={5: StepView(32, 0)}
+    )
     ready = attrs.evolve(ready, waiting=[group for group in ready.waiting if group.step == 5])
     assert sum(start.samples for start in policy(0.0).plan(ready).start) == 10
-    assert sum(start.samples for start in policy(0.0).plan(view(room=10)).start) == 9
+    assert sum(start.samples for start in policy(0.0).plan(view(free_slots=10)).start) == 9
 
 
 def test_stalled_sample_is_resumed_elsewhere() -> None:
@@ -157,7 +159,7 @@
 def test_nothing_is_moved_without_a_free_slot() -> None:
     """A sample moved into a queue would stall again."""
     stalled = sample(since_progress=timedelta(seconds=10))
-    current = view(until_pull=timedelta(), in_flight=(stalled,), room=0)
+    current = view(until_pull=timedelta(), in_flight=(stalled,), free_slots=0)
     assert policy(0.5).plan(current).stragglers == ()
 
 
@@ -183,18 +185,18 @@
 
 @given(WAITING, st.floats(0, 1), st.integers(0, 3), st.integers(0, 100), st.integers(3, 5))
 def test_no_sample_is_started_that_would_exceed_the_bound(
-    waiting: list[GroupView], freshness: float, bound: int, room: int, served: int
+    waiting: list[GroupView], freshness: float, bound: int, free_slots: int, served: int
 ) -> None:
     """Starts stay within free slots, bound and allowance, and are a function of the view."""
     steps = {
         step: StepView(sum(group.samples for group in waiting if group.step == step), 0)
         for step in range(5, 9)
     }
-    current = view(waiting=waiting, steps=steps, room=room, sampler_version=served)
+    current = view(waiting=waiting, steps=steps, free_slots=free_slots, sampler_version=served)
     plan = policy(freshness, bound).plan(current)
     assert plan == policy(freshness, bound).plan(current)
     groups = {group.id: group for group in waiting}
-    assert sum(start.samples for start in plan.start) <= room
+    assert sum(start.samples for start in plan.start) <= free_slots
     early = dict.fromkeys(steps, 0)
     for start in plan.start:
         group = groups[start.group]
--- a/tests/decisions/test_upstream_cooldown.py
+++ b/tests/decisions/test_upstream_cooldown.py
@@ -53,7 +53,7 @@
                     str(number),
                     slots=4,
                     connected=number < outdated or rng.random() < 0.5,
-                    resting=with_cooldown and now < until[number],
+                    recently_refused=with_cooldown and now < until[number],
                 )
                 for number in range(10)
             ]
@@ -84,5 +84,5 @@
 
     Requests must not be rejected until a cooldown ends.
     """
-    views = [UpstreamView(name, slots=4, resting=True) for name in "abc"]
+    views = [UpstreamView(name, slots=4, recently_refused=True) for name in "abc"]
     assert RoutingPolicy().choose(views, RouteRequest(tokens=1), Random(1)) in ("a", "b", "c")
--- a/tests/decisions/test_version_placement.py
+++ b/tests/decisions/test_version_placement.py
@@ -8,10 +8,10 @@
 
 from cranberryline.decisions.version_placement import (
     ModelNeed,
+    count_engines_per_version,
     engines_to_load,
-    loads_at_once,
+    max_concurrent_loads,
     next_load,
-    part_of,
     place_models,
 )
 
@@ -45,7 +45,7 @@
     engines that can serve are counted before any of them starts to load. No engine loads two
     versions in a row, except the extra one of an odd number.
     """
-    engines_per_version = part_of(models, len(ENGINES))
+    engines_per_version = count_engines_per_version(models, len(ENGINES))
     chosen = place_models({f"m{number}": 1 for number in range(models)}, ENGINES)["m0"]
     versions = dict.fromkeys(chosen, 1)
     loads = 0
@@ -123,4 +123,4 @@
 
 def test_small_services_load_two_at_once_and_large_ones_a_fraction() -> None:
     """Two of five or six; eight of twenty."""
-    assert [loads_at_once(count) for count in (1, 5, 6, 20)] == [2, 2, 2, 8]
+    assert [max_concurrent_loads(count) for count in (1, 5, 6, 20)] == [2, 2, 2, 8]
--- a/tests/decisions/test_weight_shift.py
+++ b/tests/decisions/test_weight_swap.py
@@ -7,12 +7,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranberryline.decisions import ShiftSettings, hashed_swap_delay, swap_delay
+from cranberryline.decisions import SwapSettings, hashed_swap_delay, swap_delay
 
 MEMBERS = [f"sampler-{i}" for i in range(60)]
 
 
-def swap_delays(members: list[str], version: int, settings: ShiftSettings) -> list[timedelta]:
+def swap_delays(members: list[str], version: int, settings: SwapSettings) -> list[timedelta]:
     """Return every member's swap delay."""
     return [swap_delay(name, members, "m", version, settings).delay for name in members]
 
@@ -22,7 +22,7 @@
     count: int, version: int, rate: float, share: float
 ) -> None:
     """Members swap one by one, at intervals of at least 1/rate."""
-    settings = ShiftSettings(rate, share, timedelta(seconds=1))
+    settings = SwapSettings(rate, share, timedelta(seconds=1))
     delays = sorted(swap_delays(MEMBERS[:count], version, settings))
     gap = 1 / settings.swaps_per_second(count)
     for position, delay in enumerate(delays):
@@ -39,7 +39,7 @@
 
 def test_order_changes_with_the_version() -> None:
     """No sampler is the last to swap at every version."""
-    settings = ShiftSettings(store_rate=10.0)
+    settings = SwapSettings(store_rate=10.0)
     last = Counter(
         max(MEMBERS, key=lambda name: swap_delay(name, MEMBERS, "m", version, settings).position)
         for version in range(40)
@@ -49,7 +49,7 @@
 
 def test_member_list_that_differs_by_one_shifts_positions_by_at_most_one() -> None:
     """While two side processes have different lists, their positions differ by at most one."""
-    settings = ShiftSettings(store_rate=10.0)
+    settings = SwapSettings(store_rate=10.0)
     for name in MEMBERS[1:]:
         full = swap_delay(name, MEMBERS, "m", 3, settings).position
         assert full - swap_delay(name, MEMBERS[1:], "m", 3, settings).position in (0, 1)
@@ -57,13 +57,13 @@
 
 def test_planned_size_swaps_within_the_time_at_the_documented_store_rate() -> None:
     """7,300 samplers in 6 s need about 1,460 fetches per second; at 100 they take over a minute."""
-    assert ShiftSettings(store_rate=1460).time_to_swap_all(7300) <= timedelta(seconds=6)
-    assert ShiftSettings(store_rate=100).time_to_swap_all(7300) > timedelta(seconds=60)
+    assert SwapSettings(store_rate=1460).time_to_swap_all(7300) <= timedelta(seconds=6)
+    assert SwapSettings(store_rate=100).time_to_swap_all(7300) > timedelta(seconds=60)
 
 
 def test_hashed_positions_keep_the_rate_on_average_with_small_bursts() -> None:
     """In a large service only the member count is known, and starts spread over the same time."""
-    settings = ShiftSettings(store_rate=100.0, max_swapping=1.0)
+    settings = SwapSettings(store_rate=100.0, max_swapping_fraction=1.0)
     names = [f"sampler-{i}" for i in range(2000)]
     starts = [hashed_swap_delay(name, 2000, "m", 7, settings) for name in names]
     assert all(0 <= plan.position < 2000 for plan in starts)
@@ -76,7 +76,7 @@
 
 def test_hashed_position_hardly_changes_with_the_count() -> None:
     """Side processes whose member counts differ by one differ by at most one position."""
-    settings = ShiftSettings(store_rate=100.0)
+    settings = SwapSettings(store_rate=100.0)
     for name in MEMBERS:
         positions = [hashed_swap_delay(name, n, "m", 3, settings).position for n in (999, 1000)]
         assert positions[1] - positions[0] in (0, 1)
