--- a/cranberryline/quarantine/__init__.py
+++ b/cranberryline/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Quarantine: requests that crash upstreams are held at every gateway until an answer clears them."""
+"""Quarantine of requests that crash upstreams, shared by all gateways through the store."""
 
 from .guard import BrokenRun, Held, RequestGuard, fingerprint
 from .keeper import HeldRequest, Quarantine
--- a/cranberryline/quarantine/guard.py
+++ b/cranberryline/quarantine/guard.py
@@ -1,4 +1,4 @@
-"""What a dispatcher asks before it sends a request, and tells of how it ended."""
+"""Interface through which a dispatcher checks requests and reports how their runs ended."""
 
 import abc
 from datetime import timedelta
@@ -12,9 +12,10 @@
 
 
 def fingerprint(caller: str, credential: str, method: str, path: str, body: bytes) -> str:
-    """Return what repetitions of a request share at all gateways, as hexadecimal digits.
+    """Return a hexadecimal digest that is equal for repetitions of a request at any gateway.
 
-    `path` keeps its query. Lengths keep two requests apart whose fields together read alike.
+    `path` includes the query string. Each field is prefixed with its length, so that requests whose
+    concatenated fields are equal still get different digests.
     """
     digest = blake2b(digest_size=_FINGERPRINT_BYTES)
     for part in (caller, credential, method, path):
@@ -27,7 +28,10 @@
 
 @attrs.frozen
 class BrokenRun:
-    """A run whose connection ended before its answer did; `path` is without the query."""
+    """A run whose upstream connection ended before the response was complete.
+
+    `path` is without the query string.
+    """
 
     fingerprint: str
     request_id: str
@@ -39,36 +43,41 @@
 
 @attrs.frozen
 class Held:
-    """A request is held: how many upstreams crashed under it, and how long until its next trial."""
+    """State of a held request: upstreams that crashed under it, and time until its next trial."""
 
     crashes: int
     retry_after: timedelta
 
 
 class RequestGuard(abc.ABC):
-    """Keep requests from upstreams that would crash under them."""
+    """Protects upstreams from requests that would crash them.
+
+    A request is suspected once an upstream has crashed while running it, and held once enough
+    upstreams have. A held request does not run, except for single trials. Requests are identified
+    by their fingerprints.
+    """
 
     @property
     @abc.abstractmethod
     def suspecting(self) -> bool:
-        """Tell whether any request is suspected, so that the next ones need a look."""
+        """Return whether any request is suspected; if not, single requests need no check."""
 
     @abc.abstractmethod
     def suspects(self, request: str) -> bool:
-        """Tell whether an upstream crashed under a request, held or not."""
+        """Return whether an upstream crashed under a request, held or not."""
 
     @abc.abstractmethod
     def held(self, request: str) -> Held | None:
-        """Return how a request is held, None if it may run."""
+        """Return the state of a held request, or None if it may run."""
 
     @abc.abstractmethod
     async def async_try(self, request: str) -> bool:
-        """Take the trial of a held request that is due; True for one taker of all gateways."""
+        """Claim the due trial of a held request; return True for at most one of all gateways."""
 
     @abc.abstractmethod
     async def async_broke(self, run: BrokenRun) -> None:
-        """Take a broken run; return once it is known whether its upstream has crashed, or soon after."""
+        """Report an interrupted run; return once its upstream was probed, or after a timeout."""
 
     @abc.abstractmethod
     def answered(self, request: str) -> None:
-        """Take that an upstream ran a request to a sound answer."""
+        """Record that an upstream ran a request to a valid response."""
--- a/cranberryline/quarantine/keeper.py
+++ b/cranberryline/quarantine/keeper.py
@@ -1,4 +1,4 @@
-"""Know which requests crash upstreams, at every gateway, and hold them."""
+"""Attribution of crashes to requests at all gateways, and quarantine of the requests."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Collection
@@ -18,16 +18,16 @@
 from cranberryline.ports.store import KeyedRecord, SharedLog
 
 from .guard import BrokenRun, Held, RequestGuard
-from .records import CrashRecord, TrialRecord, crash_key, read_key, read_record, trial_key
+from .records import CrashRecord, TrialRecord, crash_key, decode_record, parse_key, trial_key
 from .writer import RecordWriter
 
 __all__ = ["HeldRequest", "Quarantine"]
 
 _LOGGER = get_logger(__name__)
 
-# How long a repetition waits to learn whether the upstream before has crashed; a machine that answers
-# does so within a round trip.
-_LOOK_PATIENCE = timedelta(milliseconds=100)
+# Limits the delay of a retry while the previous upstream is probed; a reachable machine accepts or
+# refuses a connection within one round trip.
+_MAX_PROBE_WAIT = timedelta(milliseconds=100)
 _TRIAL_TIMEOUT = timedelta(milliseconds=500)
 _RELEASE_TIMEOUT = timedelta(seconds=2)
 _EXPIRE_INTERVAL = timedelta(seconds=30)
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class HeldRequest:
-    """A suspected request as an operator sees it; a `trial_in` of None says that it is not held."""
+    """A suspected request as shown to operators; `trial_in` is None if the request is not held."""
 
     fingerprint: str
     record: CrashRecord
@@ -45,11 +45,13 @@
 
 
 class Quarantine(RequestGuard):
-    """Blame crashes on what ran there, tell the other gateways through the store, and hear of theirs.
+    """Attributes crashes to the requests that ran there and shares them through the store.
 
-    `refuses` tells of an upstream in use whether nothing listens there any more, `in_use` whether it is
-    registered and does not drain: one that is taken away ends as planned, under whatever still runs there.
-    `end` is where the topic's tail stands, None before it was read for the first time.
+    `live` returns the ids of the live gateways. `refuses` checks whether an upstream refuses
+    connections, that is, whether its process has ended. `in_use` returns whether an upstream is
+    registered and not draining: one that is shut down as planned also interrupts its runs, which
+    must not count as a crash. `end` returns the offset up to which this node has read the topic,
+    or None before its first read is complete.
     """
 
     def __init__(
@@ -75,128 +77,152 @@
         self._in_use = in_use
         self._refuses = refuses
         self._end = end
-        self._blame = CrashAttribution()
-        self._recent = RecentAnswers()
-        self._records: dict[str, CrashRecord] = {}
-        self._told: set[str] = set()
-        # A start reads records by key, so that a trial may come before the crashes that it belongs to.
-        self._trials: dict[str, int] = {}
-        self._looks: dict[str, asyncio.Task[bool]] = {}
-        self._blaming: set[asyncio.Task[None]] = set()
+        self._attribution = CrashAttribution()
+        self._recent_answers = RecentAnswers()
+        self._latest_crashes: dict[str, CrashRecord] = {}
+        self._hold_logged: set[str] = set()
+        # The initial read returns records by key, so a trial may be read before the crashes that it
+        # belongs to.
+        self._trial_counts: dict[str, int] = {}
+        self._probes: dict[str, asyncio.Task[bool]] = {}
+        self._attribution_tasks: set[asyncio.Task[None]] = set()
         self._writer = RecordWriter(log, topic, clock, metrics)
-        metrics.held.set_function(lambda: len(self._blame.held_requests()))
+        metrics.held.set_function(lambda: len(self._attribution.held_requests()))
 
     @property
     def suspecting(self) -> bool:
-        """Tell whether any request is suspected."""
-        return len(self._blame) > 0
+        """Return whether any request is suspected."""
+        return len(self._attribution) > 0
 
     def suspects(self, request: str) -> bool:
-        """Tell whether an upstream crashed under a request."""
-        return request in self._blame
+        """Return whether an upstream crashed under a request."""
+        return request in self._attribution
 
     def held(self, request: str) -> Held | None:
-        """Return how a request is held, with the time until its next trial."""
-        hold = self._blame.hold(request)
+        """Return the state of a held request with the time until its next trial, else None."""
+        hold = self._attribution.hold(request)
         if hold is None:
             return None
         return Held(len(hold.upstreams), max(hold.trial_at - self._clock.monotonic(), timedelta()))
 
     async def async_try(self, request: str) -> bool:
-        """Take a trial that is due by an append that only one gateway can make.
+        """Claim a due trial by a conditional append, which succeeds at one gateway only.
 
-        Its record stands before the run, so that a gateway that ends in between leaves a trial that counts. This
-        gateway may read it before the append is answered.
+        The record is written before the run, so that the trial counts even if the gateway ends in
+        between. The tail of this gateway may read the record before the append returns.
         """
-        hold, end = self._blame.hold(request), self._end()
+        hold, end = self._attribution.hold(request), self._end()
         if hold is None or end is None or self._clock.monotonic() < hold.trial_at:
             return False
         number = hold.trials + 1
-        record = self._pack(trial_key(request), TrialRecord(self._node, self._now(), number))
-        taken = await self._log.async_append(self._topic, 0, [record], _TRIAL_TIMEOUT, at=end)
-        if taken.is_err():
+        record = self._pack_trial(
+            trial_key(request), TrialRecord(self._node, self._unix_time(), number)
+        )
+        appended = await self._log.async_append(self._topic, 0, [record], _TRIAL_TIMEOUT, at=end)
+        if appended.is_err():
             return False
-        self._blame.record_trial(request, number, self._clock.monotonic())
-        self._note("trial", request, hold.upstreams, number=number)
+        self._attribution.record_trial(request, number, self._clock.monotonic())
+        self._log_change("trial", request, hold.upstreams, number=number)
         return True
 
     async def async_broke(self, run: BrokenRun) -> None:
-        """Look whether the upstream of a broken run still listens, and blame the request if not."""
+        """Probe the upstream of an interrupted run, and record a crash if it has ended.
+
+        Returns after `_MAX_PROBE_WAIT` at the latest; the probe goes on in the background.
+        """
         if not self._in_use(run.upstream):
             return
-        task = asyncio.ensure_future(self._async_blame(run))
-        self._blaming.add(task)
-        task.add_done_callback(self._blaming.discard)
-        await asyncio.wait((task,), timeout=_LOOK_PATIENCE.total_seconds())
+        task = asyncio.ensure_future(self._async_attribute(run))
+        self._attribution_tasks.add(task)
+        task.add_done_callback(self._attribution_tasks.discard)
+        await asyncio.wait((task,), timeout=_MAX_PROBE_WAIT.total_seconds())
 
     def answered(self, request: str) -> None:
-        """Clear a request: what crashes its upstreams is never answered."""
-        self._recent.record(request, self._clock.monotonic())
-        if request in self._blame:
+        """Clear a request, since one that crashes its upstreams never gets a response."""
+        self._recent_answers.record(request, self._clock.monotonic())
+        if request in self._attribution:
             self._clear(request, "answered")
 
     def take(self, record: KeyedRecord) -> None:
-        """Take a record of the store, this node's own among them."""
-        named = read_key(record.key)
-        if named is None:
+        """Apply a record read from the store, including those that this node wrote."""
+        parsed = parse_key(record.key)
+        if parsed is None:
             self._health.unsound("quarantine_key_unreadable", key=record.key)
             return
-        request, upstream = named
+        request, upstream = parsed
         if not record.value:
-            self._drop(request, upstream)
+            self._remove_record(request, upstream)
             return
-        read = read_record(upstream, record.value)
-        if isinstance(read, Err):
-            self._health.unsound("quarantine_unreadable", key=record.key, detail=read.unwrap_err())
+        result = decode_record(upstream, record.value)
+        if isinstance(result, Err):
+            self._health.unsound(
+                "quarantine_unreadable", key=record.key, detail=result.unwrap_err()
+            )
             return
-        told = read.unwrap()
-        if isinstance(told, TrialRecord):
-            if request in self._blame or len(self._trials) < MAX_TRACKED_REQUESTS:
-                self._trials[request] = told.number
-            self._blame.record_trial(request, told.number, self._clock.monotonic())
+        decoded = result.unwrap()
+        if isinstance(decoded, TrialRecord):
+            if request in self._attribution or len(self._trial_counts) < MAX_TRACKED_REQUESTS:
+                self._trial_counts[request] = decoded.number
+            self._attribution.record_trial(request, decoded.number, self._clock.monotonic())
             return
-        self._add(request, upstream, told)
+        self._add_crash(request, upstream, decoded)
 
     def suspected(self) -> list[HeldRequest]:
-        """Return every suspected request, those that are held among them."""
-        return [self._seen(request, record) for request, record in self._records.items()]
+        """Return every suspected request, held or not."""
+        return [self._describe(request, record) for request, record in self._latest_crashes.items()]
 
     async def async_release(self, request: str) -> bool | None:
-        """Clear a request for an operator; None if it is not known, False if the store has it not yet."""
-        if request not in self._blame:
+        """Clear a request for an operator.
+
+        Returns None if the request is not suspected, and False if the store does not have the
+        change after `_RELEASE_TIMEOUT`; the write is then retried in the background.
+        """
+        if request not in self._attribution:
             return None
         self._clear(request, "released")
-        return await self._writer.async_flushed(_RELEASE_TIMEOUT)
+        return await self._writer.async_wait_flushed(_RELEASE_TIMEOUT)
 
     async def async_run(self) -> None:
-        """Forget what is too old, until cancelled."""
+        """Remove expired crashes periodically, until cancelled.
+
+        The live gateway with the highest rendezvous score for a request deletes its store records.
+        """
         while True:
             await self._clock.async_sleep(_EXPIRE_INTERVAL)
-            for request, upstream in self._blame.expire(self._clock.monotonic()):
-                self._forget_cleared(request)
+            for request, upstream in self._attribution.expire(self._clock.monotonic()):
+                self._discard_if_cleared(request)
                 if rendezvous.top(request, self._live()) == self._node:
-                    self._writer.drop(crash_key(request, upstream), trial_key(request))
+                    self._writer.delete(crash_key(request, upstream), trial_key(request))
 
     async def async_close(self) -> None:
-        """End what runs in the background."""
-        tasks = [*self._blaming, *self._looks.values()]
+        """Cancel the background tasks."""
+        tasks = [*self._attribution_tasks, *self._probes.values()]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         await self._writer.async_close()
 
-    async def _async_blame(self, run: BrokenRun) -> None:
-        look = self._looks.get(run.upstream)
-        if look is None:
-            look = self._looks[run.upstream] = asyncio.ensure_future(self._async_look(run.upstream))
-            look.add_done_callback(lambda _, key=run.upstream: self._looks.pop(key, None))
-        if not await look or self._recent.contains(run.fingerprint, self._clock.monotonic()):
+    async def _async_attribute(self, run: BrokenRun) -> None:
+        """Record a crash under a request if its upstream refuses connections.
+
+        Runs interrupted at the same upstream share one probe. A request that was answered recently
+        is not the cause.
+        """
+        probe = self._probes.get(run.upstream)
+        if probe is None:
+            probe = self._probes[run.upstream] = asyncio.ensure_future(
+                self._async_probe(run.upstream)
+            )
+            probe.add_done_callback(lambda _, key=run.upstream: self._probes.pop(key, None))
+        if not await probe or self._recent_answers.contains(
+            run.fingerprint, self._clock.monotonic()
+        ):
             return
-        self._metrics.crash("blamed")
+        self._metrics.crash("blamed")  # counts a crash that is attributed to a request
         record = CrashRecord(
-            self._node, self._now(), run.request_id, run.host, run.path, run.service
+            self._node, self._unix_time(), run.request_id, run.host, run.path, run.service
         )
-        if not self._add(run.fingerprint, run.upstream, record):
+        if not self._add_crash(run.fingerprint, run.upstream, record):
             return
         _LOGGER.warning(
             "upstream_crashed_under",
@@ -204,63 +230,82 @@
             upstream=run.upstream,
             fingerprint=run.fingerprint,
             path=run.path,
-            crashes=len(self._blame.crashed_upstreams(run.fingerprint)),
+            crashes=len(self._attribution.crashed_upstreams(run.fingerprint)),
         )
         key = crash_key(run.fingerprint, run.upstream)
         self._writer.put(key, msgspec.msgpack.encode(record))
 
-    async def _async_look(self, upstream: str) -> bool:
+    async def _async_probe(self, upstream: str) -> bool:
         crashed = await self._refuses(upstream)
         self._metrics.crash("crashed" if crashed else "listens")
         return crashed
 
-    def _add(self, request: str, upstream: str, record: CrashRecord) -> bool:
-        """Count a crash unless it is known already or the request is cleared; return whether it is new."""
+    def _add_crash(self, request: str, upstream: str, record: CrashRecord) -> bool:
+        """Count a crash; return False if it is known already.
+
+        A request that was answered recently is cleared at once.
+        """
         now = self._clock.monotonic()
-        age = max(timedelta(seconds=self._now() - record.at), timedelta())
-        if not self._blame.record_crash(request, upstream, now, age):
+        age = max(timedelta(seconds=self._unix_time() - record.at), timedelta())
+        if not self._attribution.record_crash(request, upstream, now, age):
             return False
-        self._records[request] = record
-        if len(self._records) > len(self._blame) or len(self._trials) > len(self._blame):
-            self._forget_evicted()
-        self._blame.record_trial(request, self._trials.get(request, 0), now)
-        if self._recent.contains(request, now):
+        self._latest_crashes[request] = record
+        if len(self._latest_crashes) > len(self._attribution) or len(self._trial_counts) > len(
+            self._attribution
+        ):
+            self._discard_evicted()
+        self._attribution.record_trial(request, self._trial_counts.get(request, 0), now)
+        if self._recent_answers.contains(request, now):
             self._clear(request, "answered_before")
             return True
-        hold = self._blame.hold(request)
-        if hold is not None and request not in self._told:
-            self._told.add(request)
-            self._note("held", request, hold.upstreams, trial_in_ms=self._trial_in(hold))
+        hold = self._attribution.hold(request)
+        if hold is not None and request not in self._hold_logged:
+            self._hold_logged.add(request)
+            self._log_change("held", request, hold.upstreams, trial_in_ms=self._trial_in_ms(hold))
         return True
 
-    def _clear(self, request: str, why: str) -> None:
-        upstreams = self._blame.clear(request)
-        self._writer.drop(*(crash_key(request, upstream) for upstream in upstreams))
-        self._writer.drop(trial_key(request))
-        self._note(why, request, upstreams)
-        self._forget_cleared(request)
+    def _clear(self, request: str, change: str) -> None:
+        """Remove all crashes of a request here and in the store."""
+        upstreams = self._attribution.clear(request)
+        self._writer.delete(*(crash_key(request, upstream) for upstream in upstreams))
+        self._writer.delete(trial_key(request))
+        self._log_change(change, request, upstreams)
+        self._discard_if_cleared(request)
 
-    def _drop(self, request: str, upstream: str) -> None:
-        """Take that a record is gone from the store."""
+    def _remove_record(self, request: str, upstream: str) -> None:
+        """Apply the deletion of a record from the store."""
         if not upstream:
-            self._trials.pop(request, None)
-        self._blame.remove_crash(request, upstream)
-        self._forget_cleared(request)
-
-    def _forget_cleared(self, request: str) -> None:
-        """Forget what is told of a request that is suspected no more."""
-        if request not in self._blame:
-            self._records.pop(request, None)
-            self._told.discard(request)
-            self._trials.pop(request, None)
-
-    def _forget_evicted(self) -> None:
-        self._records = {key: kept for key, kept in self._records.items() if key in self._blame}
-        self._told &= self._records.keys()
-        self._trials = {key: kept for key, kept in self._trials.items() if key in self._blame}
-
-    def _note(self, change: str, request: str, upstreams: tuple[str, ...], **more: int) -> None:
-        record = self._records.get(request)
+            self._trial_counts.pop(request, None)
+        self._attribution.remove_crash(request, upstream)
+        self._discard_if_cleared(request)
+
+    def _discard_if_cleared(self, request: str) -> None:
+        """Discard the details of a request that is no longer suspected."""
+        if request not in self._attribution:
+            self._latest_crashes.pop(request, None)
+            self._hold_logged.discard(request)
+            self._trial_counts.pop(request, None)
+
+    def _discard_evicted(self) -> None:
+        """Discard the details of requests that the attribution evicted to limit its size."""
+        self._latest_crashes = {
+            key: crash for key, crash in self._latest_crashes.items() if key in self._attribution
+        }
+        self._hold_logged &= self._latest_crashes.keys()
+        self._trial_counts = {
+            key: count for key, count in self._trial_counts.items() if key in self._attribution
+        }
+
+    def _log_change(
+        self, change: str, request: str, upstreams: tuple[str, ...], **fields: int
+    ) -> None:
+        """Count and log a change of a request's state.
+
+        `change` is the metric label and part of the event name: `held`, `trial` (claimed here),
+        `answered`, `answered_before` (a crash was attributed to a recently answered request) or
+        `released` (by an operator).
+        """
+        record = self._latest_crashes.get(request)
         self._metrics.hold(change)
         _LOGGER.warning(
             f"request_{change}",
@@ -269,21 +314,24 @@
             host="" if record is None else record.host,
             path="" if record is None else record.path,
             upstreams=upstreams,
-            **more,
+            **fields,
         )
 
-    def _seen(self, request: str, record: CrashRecord) -> HeldRequest:
-        hold, upstreams = self._blame.hold(request), self._blame.crashed_upstreams(request)
+    def _describe(self, request: str, record: CrashRecord) -> HeldRequest:
+        hold, upstreams = (
+            self._attribution.hold(request),
+            self._attribution.crashed_upstreams(request),
+        )
         if hold is None:
             return HeldRequest(request, record, upstreams, 0, None)
         trial_in = max(hold.trial_at - self._clock.monotonic(), timedelta())
         return HeldRequest(request, record, upstreams, hold.trials, trial_in)
 
-    def _trial_in(self, hold: Hold) -> int:
+    def _trial_in_ms(self, hold: Hold) -> int:
         return in_milliseconds(hold.trial_at - self._clock.monotonic())
 
-    def _pack(self, key: str, record: TrialRecord) -> bytes:
+    def _pack_trial(self, key: str, record: TrialRecord) -> bytes:
         return self._log.pack_keyed(key, msgspec.msgpack.encode(record))
 
-    def _now(self) -> float:
+    def _unix_time(self) -> float:
         return self._clock.now().timestamp()
--- a/cranberryline/quarantine/writer.py
+++ b/cranberryline/quarantine/writer.py
@@ -1,4 +1,4 @@
-"""Write keyed records to the store until they stand."""
+"""Background writer of keyed records that retries until the store has them."""
 
 import asyncio
 import random
@@ -11,18 +11,20 @@
 __all__ = ["RecordWriter"]
 
 _APPEND_TIMEOUT = timedelta(milliseconds=900)
-_FIRST_PAUSE = timedelta(milliseconds=50)
-_MAX_PAUSE = timedelta(milliseconds=400)
-_MAX_BATCH = 64
-# An upstream that crashes has at most a few hundred requests; more are of crashes that an outage held up.
-_MAX_WAITING = 1024
+_MIN_BACKOFF = timedelta(milliseconds=50)
+_MAX_BACKOFF = timedelta(milliseconds=400)
+_MAX_BATCH_RECORDS = 64
+# An upstream runs at most a few hundred requests when it crashes. More records than these are left
+# over from earlier crashes during a store outage.
+_MAX_PENDING_KEYS = 1024
 
 
 class RecordWriter:
-    """Append the newest value of each key; what an outage holds up goes when it is over.
+    """Appends the latest value of each key, and retries with back-off while the store fails.
 
-    Appended again without an answer, a record is the same one. A value that a later one has replaced is not
-    appended any more. Beyond `_MAX_WAITING` keys the oldest is dropped, and counted.
+    Retrying an append without a response is idempotent, because it writes the same value for the
+    same key. A value that was replaced before it was appended is not written. Beyond
+    `_MAX_PENDING_KEYS` keys the oldest one is dropped and counted in the drop metric.
     """
 
     def __init__(self, log: SharedLog, topic: str, clock: Clock, metrics: Metrics) -> None:
@@ -30,48 +32,48 @@
         self._topic = topic
         self._clock = clock
         self._metrics = metrics
-        self._waiting: dict[str, bytes] = {}
+        self._pending: dict[str, bytes] = {}
         self._task: asyncio.Task[None] | None = None
 
     def put(self, key: str, value: bytes) -> None:
-        """Set a key soon."""
-        self._waiting.pop(key, None)
-        self._waiting[key] = value
-        if len(self._waiting) > _MAX_WAITING:
-            del self._waiting[next(iter(self._waiting))]
+        """Schedule a write of a key."""
+        self._pending.pop(key, None)
+        self._pending[key] = value
+        if len(self._pending) > _MAX_PENDING_KEYS:
+            del self._pending[next(iter(self._pending))]
             self._metrics.drop("quarantine_record")
         if self._task is None or self._task.done():
             self._task = asyncio.ensure_future(self._async_write())
 
-    def drop(self, *keys: str) -> None:
-        """Drop keys soon."""
+    def delete(self, *keys: str) -> None:
+        """Schedule the deletion of keys; an empty value marks a key as deleted."""
         for key in keys:
             self.put(key, b"")
 
-    async def async_flushed(self, timeout: timedelta) -> bool:
-        """Wait until all stands; False if it takes longer, and is still tried."""
+    async def async_wait_flushed(self, timeout: timedelta) -> bool:
+        """Wait until all pending keys are written; return False on timeout, while retries go on."""
         if self._task is None:
             return True
         await asyncio.wait((self._task,), timeout=timeout.total_seconds())
         return self._task.done()
 
     async def async_close(self) -> None:
-        """End what is being written."""
+        """Cancel pending writes."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     async def _async_write(self) -> None:
-        pause = _FIRST_PAUSE
-        while self._waiting:
-            batch = dict(list(self._waiting.items())[:_MAX_BATCH])
+        backoff = _MIN_BACKOFF
+        while self._pending:
+            batch = dict(list(self._pending.items())[:_MAX_BATCH_RECORDS])
             records = [self._log.pack_keyed(key, value) for key, value in batch.items()]
-            taken = await self._log.async_append(self._topic, 0, records, _APPEND_TIMEOUT)
-            if taken.is_err():
-                await self._clock.async_sleep(pause * (0.5 + random.random()))
-                pause = min(pause * 2, _MAX_PAUSE)
+            appended = await self._log.async_append(self._topic, 0, records, _APPEND_TIMEOUT)
+            if appended.is_err():
+                await self._clock.async_sleep(backoff * (0.5 + random.random()))
+                backoff = min(backoff * 2, _MAX_BACKOFF)
                 continue
-            pause = _FIRST_PAUSE
+            backoff = _MIN_BACKOFF
             for key, value in batch.items():
-                if self._waiting.get(key) is value:
-                    del self._waiting[key]
+                if self._pending.get(key) is value:
+                    del self._pending[key]
--- a/cranberryline/upstreams/__init__.py
+++ b/cranberryline/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""The view of entries and upstreams: who is there, and who gets new work."""
+"""Membership of entry and upstream VMs, and which of them get new work."""
 
 from .errors import MembershipReason, MembershipRefused
 from .membership import Membership
--- a/cranberryline/upstreams/const.py
+++ b/cranberryline/upstreams/const.py
@@ -1,8 +1,8 @@
-"""Limits of the membership view."""
+"""Limits of the membership."""
 
 MAX_TEXT_LENGTH = 200
 PEER_PREFIX = "tcp://"
 ADDRESS_PREFIX = "http://"
-# At the design size 1,200 VMs are replaced a day, so this remembers more than a month of them.
-LEFT_IDS_KEPT = 50_000
-INCARNATIONS_KEPT = 8
+# Covers more than a month at the design size, where 1,200 VMs are replaced per day.
+MAX_LEFT_IDS = 50_000
+MAX_SUPERSEDED_INCARNATIONS = 8
--- a/cranberryline/upstreams/directory.py
+++ b/cranberryline/upstreams/directory.py
@@ -1,4 +1,4 @@
-"""The upstreams that registered themselves, as the platform's store lists them."""
+"""Registrations of upstreams in the platform's store, and the membership derived from them."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Mapping
@@ -12,7 +12,7 @@
 from cranberryline.helpers.tail import StoreHealth
 from cranberryline.ports.model import VmEntry, VmList, VmRole, VmState
 
-from .const import LEFT_IDS_KEPT
+from .const import MAX_LEFT_IDS
 from .errors import RegistrationProblem
 from .membership import Membership
 from .versions import UpstreamVersions
@@ -21,21 +21,21 @@
 
 _LOGGER = get_logger(__name__)
 
-# Registrations that lapsed because the store was out are back within two seconds of its return. Taken
-# at their word at once, they would leave a service without upstreams that are all well.
+# Registrations that expired because the store was unavailable are renewed within two seconds of its
+# recovery. Removing them at once would leave a service without upstreams although all are healthy.
 _LAPSE_GRACE = timedelta(milliseconds=2400)
-_TROUBLE_MEMORY = timedelta(seconds=3)
-# Refused entries are counted each; of a burst of them, which comes about as often as upstreams beat, one
-# line says enough.
-_BURST = timedelta(seconds=10)
+_RECENT_FAILURE_WINDOW = timedelta(seconds=3)
+# Each rejected entry is counted, but heartbeats repeat it about every second. It is logged only if
+# no entry was rejected within this time before.
+_REJECTION_QUIET_PERIOD = timedelta(seconds=10)
 
 
 @attrs.frozen
 class Registration:
-    """What an upstream says of itself.
+    """What an upstream publishes about itself.
 
-    `born` is the Unix millisecond of its start, 0 where it tells none. An upstream that starts again
-    under its id holds and knows nothing of before.
+    `born` is the Unix time in milliseconds at which its process started, or 0 if it is not given.
+    An upstream that restarts under the same id is a new incarnation without any earlier state.
     """
 
     id: str
@@ -49,22 +49,22 @@
 
     @property
     def key(self) -> str:
-        """Return what tells this start from others of the same id.
+        """Return the id together with the start time, which identifies this incarnation.
 
-        Everything that is kept about an upstream is kept by this text, so nothing of a former start
-        can be taken for the new one's: versions learned, health marks, counts of what is outstanding,
-        kept connections, rests. Only who writes to the upstream needs its id.
+        All state about an upstream is stored by this key: versions, health, outstanding requests,
+        pooled connections and cooldowns. So no state of an earlier incarnation applies to a new
+        one. Only messages written to the upstream need its id.
         """
         return f"{self.id}@{self.born}" if self.born else self.id
 
 
 class Directory(UpstreamVersions):
-    """Fold registrations into the membership, and know the versions that engines serve.
+    """Applies registrations to the membership and tracks the model versions that engines serve.
 
-    Registrations come by id; all else is asked and told by a start's key. `later` calls back once, soon:
-    a list of N entries that is read in one turn is then published once, not N times at N rows each. At 912
-    entries that took 56 ms of processor time in place of 3,769 (bench capacity registrations, with and
-    without `later`); at the design's 7,300 it is the difference between a second and minutes.
+    Registrations are addressed by upstream id, all other methods and listeners by incarnation key.
+    `later` schedules one callback soon: a list of N entries that is read at once is then published
+    once instead of N times with N rows each. With 912 entries this takes 56 ms of CPU time instead
+    of 3,769 ms; with the design size of 7,300 it is the difference between a second and minutes.
     """
 
     def __init__(
@@ -76,167 +76,183 @@
         self.membership = Membership(may_be_empty=True)
         self._clock = clock
         self._health = health
-        self._later = later
-        self._publish_due = False
-        self._rows: dict[str, Registration] = {}
-        self._listed: dict[str, VmEntry] = {}
-        self._keys: dict[str, str] = {}
-        self._newest: OrderedDict[str, Registration] = OrderedDict()
-        self._lapsed: dict[str, timedelta] = {}
-        self._learned: dict[str, dict[str, int]] = {}
-        self._version = 0
-        self._refused_at: timedelta | None = None
+        self._call_later = later
+        self._publish_scheduled = False
+        self._registrations: dict[str, Registration] = {}
+        self._vm_entries: dict[str, VmEntry] = {}
+        self._key_by_id: dict[str, str] = {}
+        self._newest_by_id: OrderedDict[str, Registration] = OrderedDict()
+        self._lapsed_until: dict[str, timedelta] = {}
+        self._reported_versions: dict[str, dict[str, int]] = {}
+        self._list_version = 0
+        self._last_rejection: timedelta | None = None
         self._listeners: list[Callable[[Registration], None]] = []
-        self._over_listeners: list[Callable[[str], None]] = []
+        self._superseded_listeners: list[Callable[[str], None]] = []
 
     def listen(self, listener: Callable[[Registration], None]) -> None:
-        """Call back with each registration."""
+        """Call a listener with each registration."""
         self._listeners.append(listener)
 
     def listen_over(self, listener: Callable[[str], None]) -> None:
-        """Call back with the key of each start that a newer one has followed."""
-        self._over_listeners.append(listener)
-
-    def put(self, row: Registration) -> Result[None, RegistrationProblem]:
-        """Take a registration, new or changed; an Err says why it is not in force."""
-        newest = self._newest.get(row.id)
-        if newest is not None and newest.born and not row.born:
-            # An upstream tells its start always or never, so this was written by somebody else.
-            self.refuse(row.id, RegistrationProblem.BAD_START)
+        """Call a listener with the key of each incarnation that a newer one replaces."""
+        self._superseded_listeners.append(listener)
+
+    def put(self, registration: Registration) -> Result[None, RegistrationProblem]:
+        """Apply a new or changed registration; the error says why it was rejected."""
+        newest = self._newest_by_id.get(registration.id)
+        if newest is not None and newest.born and not registration.born:
+            # An upstream gives its start time either always or never, so another writer wrote this.
+            self.refuse(registration.id, RegistrationProblem.BAD_START)
             return Err(RegistrationProblem.BAD_START)
-        if newest is not None and row.born < newest.born:
+        if newest is not None and registration.born < newest.born:
             return Err(RegistrationProblem.OLD_START)
-        if newest is not None and newest.key != row.key:
-            self._end_start(newest)
-        elif newest is not None and newest.draining and not row.draining:
-            # Written before the notice and told after it: the notice stands for this start.
-            row = attrs.evolve(row, draining=True)
-        self._remember(row)
-        known = self._rows.get(row.key)
-        self._lapsed.pop(row.key, None)
-        self._learned.pop(row.key, None)
-        self._rows[row.key] = row
-        self._keys[row.id] = row.key
+        if newest is not None and newest.key != registration.key:
+            self._supersede(newest)
+        elif newest is not None and newest.draining and not registration.draining:
+            # This was written before the drain notice but read after it. A drain is final for an
+            # incarnation.
+            registration = attrs.evolve(registration, draining=True)
+        self._remember_newest(registration)
+        known = self._registrations.get(registration.key)
+        self._lapsed_until.pop(registration.key, None)
+        self._reported_versions.pop(registration.key, None)
+        self._registrations[registration.key] = registration
+        self._key_by_id[registration.id] = registration.key
         for listener in self._listeners:
-            listener(row)
-        if known is None or _published(known) != _published(row):
-            self._listed[row.key] = _row(row)
+            listener(registration)
+        if known is None or _published_fields(known) != _published_fields(registration):
+            self._vm_entries[registration.key] = _vm_entry(registration)
             _LOGGER.info(
-                "upstream_registered", upstream=row.key, service=row.service, draining=row.draining
+                "upstream_registered",
+                upstream=registration.key,
+                service=registration.service,
+                draining=registration.draining,
             )
             self._publish()
         return Ok(None)
 
     def remove(self, upstream_id: str) -> None:
-        """Take the end of a registration, later if the store was in trouble just now."""
-        key = self._keys.get(upstream_id)
+        """Remove a registration, after `_LAPSE_GRACE` if the store failed recently.
+
+        A draining upstream is removed at once, since its end was announced.
+        """
+        key = self._key_by_id.get(upstream_id)
         if key is None:
             return
-        if not self._rows[key].draining and self._health.failed_within(_TROUBLE_MEMORY):
-            self._lapsed[key] = self._clock.monotonic() + _LAPSE_GRACE
+        if not self._registrations[key].draining and self._health.failed_within(
+            _RECENT_FAILURE_WINDOW
+        ):
+            self._lapsed_until[key] = self._clock.monotonic() + _LAPSE_GRACE
             _LOGGER.info("upstream_lapsed", upstream=key)
             return
         self._drop(key)
         self._publish()
 
     def refuse(self, upstream_id: str, problem: RegistrationProblem) -> None:
-        """Take an id out of use whose entry names no upstream, until its next sound entry.
+        """Reject an invalid entry, and stop using its upstream until the next valid entry.
 
-        What the upstream itself said of its start, its drain above all, stands: the entry is not its own.
+        The invalid entry is from another writer, so what the upstream itself published about its
+        incarnation is kept, in particular a drain.
         """
         now = self._clock.monotonic()
-        if self._refused_at is None or now - self._refused_at >= _BURST:
+        if self._last_rejection is None or now - self._last_rejection >= _REJECTION_QUIET_PERIOD:
             _LOGGER.warning("registration_refused", upstream=upstream_id, problem=problem)
-        self._refused_at = now
-        key = self._keys.get(upstream_id)
+        self._last_rejection = now
+        key = self._key_by_id.get(upstream_id)
         if key is not None:
             self._drop(key)
             self._publish()
 
     def expire(self) -> None:
-        """Drop the registrations that lapsed and did not come back."""
+        """Remove the registrations that lapsed and were not renewed within the grace period."""
         now = self._clock.monotonic()
-        due = [key for key, until in self._lapsed.items() if now >= until]
-        for key in due:
+        expired = [key for key, until in self._lapsed_until.items() if now >= until]
+        for key in expired:
             self._drop(key)
-        if due:
+        if expired:
             self._publish()
 
     def get(self, upstream: str) -> Registration | None:
-        """Return the registration of a start, None once that start is over."""
-        return self._rows.get(upstream)
+        """Return the registration of an incarnation, or None if it is not registered."""
+        return self._registrations.get(upstream)
 
     def engines(self) -> dict[str, list[Registration]]:
-        """Return the registrations with models, by service, without those that drain."""
+        """Return the registrations that serve models and are not draining, by service."""
         found: dict[str, list[Registration]] = {}
-        for row in self._rows.values():
-            if row.versions and not row.draining:
-                found.setdefault(row.service, []).append(row)
+        for registration in self._registrations.values():
+            if registration.versions and not registration.draining:
+                found.setdefault(registration.service, []).append(registration)
         return found
 
     def version(self, upstream: str, model: str) -> int | None:
-        """Return the newest version that the upstream is known to serve."""
-        learned = self._learned.get(upstream, {}).get(model)
-        if learned is not None:
-            return learned
-        row = self._rows.get(upstream)
-        return None if row is None else row.versions.get(model)
+        """Return the newest version that the upstream is known to serve, or None."""
+        reported = self._reported_versions.get(upstream, {}).get(model)
+        if reported is not None:
+            return reported
+        registration = self._registrations.get(upstream)
+        return None if registration is None else registration.versions.get(model)
 
     def learn(self, upstream: str, model: str, version: int) -> None:
-        """Take the version that an answer told; it is newer than what the registration says."""
-        if upstream in self._rows:
-            self._learned.setdefault(upstream, {})[model] = version
-
-    def _end_start(self, row: Registration) -> None:
-        """End a start that a newer one follows, also one that had gone or was out of use."""
-        if row.key in self._rows:
-            self._drop(row.key)
-        _LOGGER.info("upstream_start_over", upstream=row.key)
-        for listener in self._over_listeners:
-            listener(row.key)
-
-    def _remember(self, row: Registration) -> None:
-        """Keep the newest start of each id, also of those that have gone, as far as memory allows."""
-        self._newest[row.id] = row
-        self._newest.move_to_end(row.id)
-        while len(self._newest) > max(LEFT_IDS_KEPT, 2 * len(self._keys)):
-            self._newest.popitem(last=False)
+        """Record the version that a response reported; it is newer than the registration's."""
+        if upstream in self._registrations:
+            self._reported_versions.setdefault(upstream, {})[model] = version
+
+    def _supersede(self, registration: Registration) -> None:
+        """End an incarnation that a newer one replaces, even if it was removed before."""
+        if registration.key in self._registrations:
+            self._drop(registration.key)
+        # The event means that this incarnation is over, not that the upstream starts again.
+        _LOGGER.info("upstream_start_over", upstream=registration.key)
+        for listener in self._superseded_listeners:
+            listener(registration.key)
+
+    def _remember_newest(self, registration: Registration) -> None:
+        """Store the newest incarnation of each id, including removed ones up to a limit."""
+        self._newest_by_id[registration.id] = registration
+        self._newest_by_id.move_to_end(registration.id)
+        while len(self._newest_by_id) > max(MAX_LEFT_IDS, 2 * len(self._key_by_id)):
+            self._newest_by_id.popitem(last=False)
 
     def _drop(self, key: str) -> None:
-        row = self._rows.pop(key)
-        del self._listed[key]
-        self._keys.pop(row.id, None)
-        self._lapsed.pop(key, None)
-        self._learned.pop(key, None)
+        registration = self._registrations.pop(key)
+        del self._vm_entries[key]
+        self._key_by_id.pop(registration.id, None)
+        self._lapsed_until.pop(key, None)
+        self._reported_versions.pop(key, None)
         _LOGGER.info("upstream_gone", upstream=key)
 
     def _publish(self) -> None:
-        if self._later is None:
+        if self._call_later is None:
             self._publish_now()
-        elif not self._publish_due:
-            self._publish_due = True
-            self._later(self._publish_now)
+        elif not self._publish_scheduled:
+            self._publish_scheduled = True
+            self._call_later(self._publish_now)
 
     def _publish_now(self) -> None:
-        self._publish_due = False
-        self._version += 1
-        self.membership.apply_list(VmList(self._version, tuple(self._listed.values())))
-
-
-def _published(row: Registration) -> tuple[bool, str, str, str]:
-    """Return what a list says of a start; a beat that changes nothing of it publishes nothing."""
-    return row.draining, row.address, row.service, row.data_center
+        self._publish_scheduled = False
+        self._list_version += 1
+        self.membership.apply_list(VmList(self._list_version, tuple(self._vm_entries.values())))
+
+
+def _published_fields(registration: Registration) -> tuple[bool, str, str, str]:
+    """Return the fields shown in the VM list; a heartbeat that changes none publishes no list."""
+    return (
+        registration.draining,
+        registration.address,
+        registration.service,
+        registration.data_center,
+    )
 
 
-def _row(row: Registration) -> VmEntry:
-    state = VmState.LEAVING if row.draining else VmState.LIVE
+def _vm_entry(registration: Registration) -> VmEntry:
+    state = VmState.LEAVING if registration.draining else VmState.LIVE
     return VmEntry(
-        id=row.key,
+        id=registration.key,
         role=VmRole.UPSTREAM,
         state=state,
-        data_center=row.data_center,
+        data_center=registration.data_center,
         peer="",
-        address=f"http://{row.address}",
-        service=row.service,
-        name=row.id,
+        address=f"http://{registration.address}",
+        service=registration.service,
+        name=registration.id,
     )
--- a/cranberryline/upstreams/errors.py
+++ b/cranberryline/upstreams/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the membership view."""
+"""Errors of the membership."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class MembershipReason(enum.StrEnum):
-    """Why a VM list, a row of it, or a notice was refused."""
+    """Why a VM list, one of its rows, or a notice of a process was refused."""
 
     OLD_VERSION = "old_version"
     BAD_LIST = "bad_list"
@@ -16,26 +16,26 @@
     BAD_ROW = "bad_row"
     DUPLICATE_ID = "duplicate_id"
     BAD_NOTICE = "bad_notice"
-    SUPERSEDED = "superseded"  # a notice of a life that a later one has followed
+    SUPERSEDED = "superseded"  # a notice of an incarnation that a newer one has replaced
 
 
 class RegistrationProblem(enum.StrEnum):
-    """Why what stands for an upstream was not taken."""
+    """Why the store entry of an upstream was rejected."""
 
     UNREADABLE = "unreadable"
     BAD_ID = "bad_id"
     BAD_FIELD = "bad_field"  # missing, or of another type
     BAD_ADDRESS = "bad_address"
     BAD_SLOTS = "bad_slots"
-    BAD_START = "bad_start"  # out of range, or not told by an upstream that always tells it
+    BAD_START = "bad_start"  # start time out of range, or missing though it was given before
     BAD_STATE = "bad_state"
-    UNKNOWN_SERVICE = "unknown_service"  # one that no configuration names, so far
-    OLD_START = "old_start"  # of a start that a newer one has followed
+    UNKNOWN_SERVICE = "unknown_service"  # not in the configuration read so far
+    OLD_START = "old_start"  # of an incarnation that a newer one has replaced
 
 
 @attrs.frozen
 class MembershipRefused:
-    """Something that was refused as a whole and changed nothing."""
+    """A list or notice that was refused as a whole and changed nothing."""
 
     reason: MembershipReason
     detail: str = ""
--- a/cranberryline/upstreams/model.py
+++ b/cranberryline/upstreams/model.py
@@ -1,4 +1,4 @@
-"""What the membership view tells of itself."""
+"""Member states, and the result of applying a VM list."""
 
 import enum
 
@@ -10,17 +10,17 @@
 
 
 class MemberState(enum.StrEnum):
-    """Whether a VM gets new work."""
+    """Whether a VM gets new work, and if not, why."""
 
     USABLE = "usable"
-    DRAINING = "draining"
-    LEAVING = "leaving"
-    GONE = "gone"
+    DRAINING = "draining"  # its process announced that it stops
+    LEAVING = "leaving"  # a VM list reported it as leaving, which is final
+    GONE = "gone"  # not in the VM list
 
 
 @attrs.frozen
 class RowRefused:
-    """A row of a VM list that was passed over."""
+    """An invalid row of a VM list; `row` is its index in the list."""
 
     row: int
     id: str
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class ListApplied:
-    """What a VM list changed: ids that became usable, ids that stopped being so, rows refused."""
+    """Result of a VM list: ids that became usable, ids that became unusable, and refused rows."""
 
     version: int
     joined: tuple[str, ...] = ()
--- a/cranberryline/upstreams/versions.py
+++ b/cranberryline/upstreams/versions.py
@@ -1,4 +1,4 @@
-"""What runs of items have to know of upstreams' weight versions."""
+"""Interface to the model weight versions that upstreams serve."""
 
 import abc
 
@@ -6,12 +6,12 @@
 
 
 class UpstreamVersions(abc.ABC):
-    """Which weight version an upstream serves, as far as this node knows."""
+    """Weight versions that upstreams serve, as far as this node knows."""
 
     @abc.abstractmethod
     def version(self, upstream: str, model: str) -> int | None:
-        """Return the version, None if unknown."""
+        """Return the version of a model, or None if it is unknown."""
 
     @abc.abstractmethod
     def learn(self, upstream: str, model: str, version: int) -> None:
-        """Take the version that an answer told."""
+        """Record the version that a response of the upstream reported."""
--- a/tests/quarantine/conftest.py
+++ b/tests/quarantine/conftest.py
@@ -1,4 +1,4 @@
-"""Gateways' quarantines over one store in memory, in virtual time."""
+"""Test harness: quarantines of several gateways with one in-memory store, in virtual time."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -13,18 +13,21 @@
 from tests.virtual_time import LoopClock, run_virtual
 
 TOPIC = "keyed.quarantine"
-POISON = "0" * 31 + "1"
-BESIDE = "0" * 31 + "2"
+CRASHING_REQUEST = "0" * 31 + "1"
+OTHER_REQUEST = "0" * 31 + "2"
 
 
-def broken(upstream: str, request: str = POISON) -> BrokenRun:
-    """Return a run that broke off at an upstream."""
+def make_interrupted_run(upstream: str, request: str = CRASHING_REQUEST) -> BrokenRun:
+    """Return a run that was interrupted at an upstream."""
     return BrokenRun(request, f"id-{upstream}", "files.example", "/files/x", "files", upstream)
 
 
 @attrs.define(eq=False, slots=False)
 class Node:
-    """One gateway's quarantine, and what it would find of upstreams."""
+    """One gateway's quarantine, and the simulated state of the upstreams.
+
+    Upstreams in `listening` accept connections when probed; those in `leaving` are not in use.
+    """
 
     name: str
     link: StoreLink
@@ -36,7 +39,7 @@
     tasks: list[asyncio.Future[Any]] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        """Put the quarantine and its tail together."""
+        """Create the quarantine and the tail of its topic."""
         health = StoreHealth(self.clock, self.metrics)
         self.quarantine = Quarantine(
             self.link,
@@ -57,36 +60,36 @@
         return upstream not in self.listening
 
     def start(self) -> None:
-        """Follow the topic."""
+        """Start to follow the topic."""
         runs = (self.tail.async_run(), self.quarantine.async_run())
         self.tasks += [asyncio.ensure_future(run) for run in runs]
 
     async def async_stop(self) -> None:
-        """End what runs."""
+        """Cancel the background tasks."""
         for task in self.tasks:
             task.cancel()
         await self.quarantine.async_close()
 
-    async def async_crash(self, *upstreams: str, request: str = POISON) -> None:
-        """Let upstreams crash under a request of this gateway."""
+    async def async_crash(self, *upstreams: str, request: str = CRASHING_REQUEST) -> None:
+        """Simulate crashes of upstreams while they run a request of this gateway."""
         for upstream in upstreams:
-            await self.quarantine.async_broke(broken(upstream, request))
+            await self.quarantine.async_broke(make_interrupted_run(upstream, request))
 
-    def holds(self, request: str = POISON) -> bool:
-        """Tell whether this gateway holds a request."""
+    def is_held(self, request: str = CRASHING_REQUEST) -> bool:
+        """Return whether this gateway holds a request."""
         return self.quarantine.held(request) is not None
 
 
 @attrs.define
-class Fleet:
-    """Gateways before one store."""
+class Cluster:
+    """Gateways that share one store."""
 
     store: FakeStore = attrs.field(factory=FakeStore)
     nodes: list[Node] = attrs.field(factory=list)
     live: set[str] = attrs.field(factory=set)
 
     async def async_add(self) -> Node:
-        """Start a gateway that reads what stands in the store."""
+        """Start a gateway, and give it time to read the store."""
         node = Node(f"n{len(self.nodes)}", StoreLink(self.store), self.live)
         self.live.add(node.name)
         self.nodes.append(node)
@@ -94,8 +97,8 @@
         await asyncio.sleep(0.05)
         return node
 
-    def kept(self) -> set[str]:
-        """Return the keys that stand in the store."""
+    def stored_keys(self) -> set[str]:
+        """Return the keys in the store that are not deleted."""
         newest = {}
         for record in self.store.records[(TOPIC, 0)]:
             keyed = StoreLink(self.store).unpack_keyed(record)
@@ -104,22 +107,24 @@
         return {key for key, value in newest.items() if value}
 
 
-def play(scene: Callable[[Fleet], Coroutine[Any, Any, None]], gateways: int = 2) -> None:
-    """Play a scene with some gateways in virtual time."""
+def run_scenario(
+    scenario: Callable[[Cluster], Coroutine[Any, Any, None]], gateways: int = 2
+) -> None:
+    """Run a scenario with a number of gateways in virtual time."""
 
-    async def async_play() -> None:
-        fleet = Fleet()
+    async def async_run() -> None:
+        cluster = Cluster()
         for _ in range(gateways):
-            await fleet.async_add()
+            await cluster.async_add()
         try:
-            await scene(fleet)
+            await scenario(cluster)
         finally:
-            for node in fleet.nodes:
+            for node in cluster.nodes:
                 await node.async_stop()
 
-    run_virtual(async_play())
+    run_virtual(async_run())
 
 
-async def async_pause(seconds: float) -> None:
-    """Let virtual time go by."""
+async def async_advance(seconds: float) -> None:
+    """Advance virtual time."""
     await asyncio.sleep(seconds)
--- a/tests/quarantine/test_keeper.py
+++ b/tests/quarantine/test_keeper.py
@@ -1,4 +1,4 @@
-"""What gateways know together of requests that crash upstreams: told, lost, late, cleared, released."""
+"""Quarantine shared by gateways: crashes, store outages, trials, clearing and operator releases."""
 
 from datetime import timedelta
 from typing import Any
@@ -15,357 +15,379 @@
 from cranberryline.quarantine import CrashRecord, fingerprint
 from tests.store_fake import StoreLink
 
-from .conftest import BESIDE, POISON, TOPIC, Fleet, async_pause, play
+from .conftest import (
+    CRASHING_REQUEST,
+    OTHER_REQUEST,
+    TOPIC,
+    Cluster,
+    async_advance,
+    run_scenario,
+)
 
-_SOON = 0.2
+_PROPAGATION_SECONDS = 0.2
 
 
-def test_crashes_at_several_gateways_add_up_at_all_of_them() -> None:
-    """Each gateway has seen one or two crashes; together there are three."""
+def test_crashes_seen_by_different_gateways_are_added_up() -> None:
+    """Three gateways see one crash each. All of them must hold the request."""
 
-    async def scene(fleet: Fleet) -> None:
-        first, second, third = fleet.nodes
+    async def scenario(cluster: Cluster) -> None:
+        first, second, third = cluster.nodes
         await first.async_crash("a")
         await second.async_crash("b")
         await third.async_crash("c")
-        await async_pause(_SOON)
-        assert all(node.holds() for node in fleet.nodes)
-        assert not any(node.holds(BESIDE) for node in fleet.nodes)
+        await async_advance(_PROPAGATION_SECONDS)
+        assert all(node.is_held() for node in cluster.nodes)
+        assert not any(node.is_held(OTHER_REQUEST) for node in cluster.nodes)
+
+    run_scenario(scenario, gateways=3)
 
-    play(scene, gateways=3)
 
+def test_crash_of_one_upstream_seen_by_two_gateways_counts_once() -> None:
+    """Both gateways ran the request on the same two upstreams when these crashed.
 
-def test_two_gateways_that_tell_of_one_upstream_count_it_once() -> None:
-    """Both had the request there when it crashed, and a third crash is still to come."""
+    Two crashes are not enough to hold a request.
+    """
 
-    async def scene(fleet: Fleet) -> None:
-        for node in fleet.nodes:
+    async def scenario(cluster: Cluster) -> None:
+        for node in cluster.nodes:
             await node.async_crash("a", "b")
-        await async_pause(_SOON)
-        assert not any(node.holds() for node in fleet.nodes)
+        await async_advance(_PROPAGATION_SECONDS)
+        assert not any(node.is_held() for node in cluster.nodes)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_connection_that_was_reset_is_no_crash() -> None:
-    """The process behind it listens still: the request is run on."""
+def test_reset_connection_is_not_counted_as_a_crash() -> None:
+    """The upstreams still accept connections, so the request must not be suspected."""
 
-    async def scene(fleet: Fleet) -> None:
-        (node,) = fleet.nodes
+    async def scenario(cluster: Cluster) -> None:
+        (node,) = cluster.nodes
         node.listening |= {"a", "b", "c", "d"}
         await node.async_crash("a", "b", "c", "d")
         assert not node.quarantine.suspecting
         assert node.metrics.value("cranberryline_broken_runs_total", outcome="listens") == 4
 
-    play(scene, gateways=1)
+    run_scenario(scenario, gateways=1)
 
 
-def test_an_upstream_that_is_taken_away_is_no_crash() -> None:
-    """It drains or has left its list, and ends under what still runs there."""
+def test_planned_shutdown_of_an_upstream_is_not_counted_as_a_crash() -> None:
+    """A draining or unregistered upstream ends while requests still run on it."""
 
-    async def scene(fleet: Fleet) -> None:
-        (node,) = fleet.nodes
+    async def scenario(cluster: Cluster) -> None:
+        (node,) = cluster.nodes
         node.leaving |= {"a", "b", "c"}
         await node.async_crash("a", "b", "c")
         assert not node.quarantine.suspecting
 
-    play(scene, gateways=1)
+    run_scenario(scenario, gateways=1)
 
 
-def test_a_gateway_that_starts_later_holds_what_the_others_hold() -> None:
-    """It reads the crashes with its first read, before it has seen one."""
+def test_gateway_that_starts_later_holds_the_same_requests() -> None:
+    """A new gateway must apply the crashes from its initial read of the store."""
 
-    async def scene(fleet: Fleet) -> None:
-        await fleet.nodes[0].async_crash("a", "b", "c")
-        await async_pause(5)
-        assert (await fleet.async_add()).holds()
+    async def scenario(cluster: Cluster) -> None:
+        await cluster.nodes[0].async_crash("a", "b", "c")
+        await async_advance(5)
+        assert (await cluster.async_add()).is_held()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("fault", ["silent", "refusing"])
-def test_a_gateway_without_the_store_holds_what_it_saw_and_tells_it_afterwards(fault: str) -> None:
-    """It is cut off while upstreams crash, and no crash is lost by that."""
+def test_crashes_during_a_store_outage_are_held_locally_and_published_later(fault: str) -> None:
+    """A gateway loses the store while upstreams crash.
+
+    It must hold the request itself, and the others must hold it once the store is back.
+    """
 
-    async def scene(fleet: Fleet) -> None:
-        cut, other = fleet.nodes
+    async def scenario(cluster: Cluster) -> None:
+        isolated, other = cluster.nodes
         if fault == "silent":
-            cut.link.silent = True
+            isolated.link.silent = True
         else:
-            cut.link.refusing = lambda _topic, _part: True
-        await cut.async_crash("a", "b", "c")
-        await async_pause(8)
-        assert cut.holds() and not other.holds()
-        cut.link.silent, cut.link.refusing = False, lambda _topic, _part: False
-        await async_pause(3)
-        assert other.holds()
+            isolated.link.refusing = lambda _topic, _part: True
+        await isolated.async_crash("a", "b", "c")
+        await async_advance(8)
+        assert isolated.is_held() and not other.is_held()
+        isolated.link.silent, isolated.link.refusing = False, lambda _topic, _part: False
+        await async_advance(3)
+        assert other.is_held()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_gateway_that_returns_from_a_cut_hears_what_it_missed() -> None:
-    """The others held a request meanwhile; it does so within the platform's bound of three seconds."""
+def test_gateway_catches_up_after_it_lost_the_store() -> None:
+    """Another gateway holds a request while this one cannot reach the store.
 
-    async def scene(fleet: Fleet) -> None:
-        cut, other = fleet.nodes
-        cut.link.silent = True
-        await async_pause(3)
+    It must hold the request within three seconds of its return, the limit set by the platform.
+    """
+
+    async def scenario(cluster: Cluster) -> None:
+        isolated, other = cluster.nodes
+        isolated.link.silent = True
+        await async_advance(3)
         await other.async_crash("a", "b", "c")
-        await async_pause(3)
-        cut.link.silent = False
-        await async_pause(3)
-        assert cut.holds()
+        await async_advance(3)
+        isolated.link.silent = False
+        await async_advance(3)
+        assert isolated.is_held()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_an_append_without_an_answer_that_takes_effect_late_is_counted_once() -> None:
-    """It is appended again, and the first one stands seconds later, too."""
+def test_append_that_is_retried_and_takes_effect_twice_counts_once() -> None:
+    """An append gets no response and is retried; 2 s later the first one takes effect too."""
 
-    async def scene(fleet: Fleet) -> None:
-        first, second = fleet.nodes
+    async def scenario(cluster: Cluster) -> None:
+        first, second = cluster.nodes
         first.link.lost, first.link.late = 1, timedelta(seconds=2)
         await first.async_crash("a")
-        await async_pause(5)
-        assert fleet.kept() == {f"{POISON}/a"}
+        await async_advance(5)
+        assert cluster.stored_keys() == {f"{CRASHING_REQUEST}/a"}
         await second.async_crash("b")
-        await async_pause(_SOON)
-        assert not second.holds()
+        await async_advance(_PROPAGATION_SECONDS)
+        assert not second.is_held()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_an_answer_clears_a_request_at_every_gateway() -> None:
-    """A run that was under way when the request was held comes to its answer."""
+def test_response_clears_a_request_at_every_gateway() -> None:
+    """A run that had started before the request was held gets its response."""
 
-    async def scene(fleet: Fleet) -> None:
-        first, second = fleet.nodes
+    async def scenario(cluster: Cluster) -> None:
+        first, second = cluster.nodes
         await first.async_crash("a", "b", "c")
-        await async_pause(_SOON)
-        second.quarantine.answered(POISON)
-        await async_pause(_SOON)
-        assert not any(node.quarantine.suspecting for node in fleet.nodes)
-        assert fleet.kept() == set()
-
-    play(scene)
-
-
-def test_a_popular_request_is_not_held_for_upstreams_that_are_killed_together() -> None:
-    """It runs at all of them at once, and was answered a moment ago, at this gateway or at another."""
-
-    async def scene(fleet: Fleet) -> None:
-        first, second = fleet.nodes
-        first.quarantine.answered(BESIDE)
-        await async_pause(10)
-        await second.async_crash("a", "b", "c", "d", request=BESIDE)
-        await first.async_crash("a", "b", "c", "d", request=BESIDE)
-        await async_pause(_SOON)
-        assert not any(node.holds(BESIDE) for node in fleet.nodes)
-        assert fleet.kept() == set()
-
-    play(scene)
-
-
-def test_a_trial_goes_to_one_gateway() -> None:
-    """All have the request at the moment in which its trial is due; one may run it."""
-
-    async def scene(fleet: Fleet) -> None:
-        await fleet.nodes[0].async_crash("a", "b", "c")
-        await async_pause(1)
-        assert not await fleet.nodes[0].quarantine.async_try(POISON)
-        await async_pause(FIRST_TRIAL_DELAY.total_seconds())
-        tried = [await node.quarantine.async_try(POISON) for node in fleet.nodes * 2]
-        assert sum(tried) == 1
-        await async_pause(_SOON)
-        for node in fleet.nodes:
-            held = node.quarantine.held(POISON)
+        await async_advance(_PROPAGATION_SECONDS)
+        second.quarantine.answered(CRASHING_REQUEST)
+        await async_advance(_PROPAGATION_SECONDS)
+        assert not any(node.quarantine.suspecting for node in cluster.nodes)
+        assert cluster.stored_keys() == set()
+
+    run_scenario(scenario)
+
+
+def test_frequent_request_is_not_held_when_its_upstreams_are_killed_together() -> None:
+    """A request runs on several upstreams that are killed at once.
+
+    It was answered 10 s before, at one of the two gateways, so it did not cause the crashes.
+    """
+
+    async def scenario(cluster: Cluster) -> None:
+        first, second = cluster.nodes
+        first.quarantine.answered(OTHER_REQUEST)
+        await async_advance(10)
+        await second.async_crash("a", "b", "c", "d", request=OTHER_REQUEST)
+        await first.async_crash("a", "b", "c", "d", request=OTHER_REQUEST)
+        await async_advance(_PROPAGATION_SECONDS)
+        assert not any(node.is_held(OTHER_REQUEST) for node in cluster.nodes)
+        assert cluster.stored_keys() == set()
+
+    run_scenario(scenario)
+
+
+def test_trial_is_claimed_by_one_gateway_only() -> None:
+    """Four gateways have the request when its trial is due, and each tries to claim it twice."""
+
+    async def scenario(cluster: Cluster) -> None:
+        await cluster.nodes[0].async_crash("a", "b", "c")
+        await async_advance(1)
+        assert not await cluster.nodes[0].quarantine.async_try(CRASHING_REQUEST)
+        await async_advance(FIRST_TRIAL_DELAY.total_seconds())
+        claimed = [await node.quarantine.async_try(CRASHING_REQUEST) for node in cluster.nodes * 2]
+        assert sum(claimed) == 1
+        await async_advance(_PROPAGATION_SECONDS)
+        for node in cluster.nodes:
+            held = node.quarantine.held(CRASHING_REQUEST)
             assert held is not None and held.retry_after > FIRST_TRIAL_DELAY
 
-    play(scene, gateways=4)
+    run_scenario(scenario, gateways=4)
 
 
-def test_a_trial_is_taken_though_its_record_is_read_before_its_append_is_answered() -> None:
-    """The store wakes this gateway's own reader first; the trial is not given away for that."""
+def test_trial_is_claimed_if_its_record_is_read_before_the_append_returns() -> None:
+    """The gateway's own tail reads the trial record first, which must not make the claim fail."""
 
-    async def scene(fleet: Fleet) -> None:
-        (node,) = fleet.nodes
+    async def scenario(cluster: Cluster) -> None:
+        (node,) = cluster.nodes
         await node.async_crash("a", "b", "c")
-        await async_pause(FIRST_TRIAL_DELAY.total_seconds() + 1)
+        await async_advance(FIRST_TRIAL_DELAY.total_seconds() + 1)
         append = node.link.async_append
 
-        async def async_slowly_answered(*args: Any, **more: Any) -> Any:
-            taken = await append(*args, **more)
-            await async_pause(0.1)
-            return taken
+        async def async_append_slowly(*args: Any, **kwargs: Any) -> Any:
+            appended = await append(*args, **kwargs)
+            await async_advance(0.1)
+            return appended
 
-        node.link.async_append = async_slowly_answered  # type: ignore[method-assign]
-        assert await node.quarantine.async_try(POISON)
-        assert not await node.quarantine.async_try(POISON)
+        node.link.async_append = async_append_slowly  # type: ignore[method-assign]
+        assert await node.quarantine.async_try(CRASHING_REQUEST)
+        assert not await node.quarantine.async_try(CRASHING_REQUEST)
 
-    play(scene, gateways=1)
+    run_scenario(scenario, gateways=1)
 
 
-def test_a_gateway_that_starts_later_knows_of_trials() -> None:
-    """What stands in the store is read by key, a trial before the crashes that it belongs to."""
+def test_gateway_that_starts_later_counts_earlier_trials() -> None:
+    """The initial read returns records by key, so a trial may come before its crashes."""
 
-    async def scene(fleet: Fleet) -> None:
-        first = fleet.nodes[0]
+    async def scenario(cluster: Cluster) -> None:
+        first = cluster.nodes[0]
         await first.async_crash("a", "b", "c")
-        await async_pause(FIRST_TRIAL_DELAY.total_seconds() + 1)
-        assert await first.quarantine.async_try(POISON)
-        await async_pause(_SOON)
-        late = (await fleet.async_add()).quarantine.held(POISON)
-        assert late is not None and late.retry_after > 2 * FIRST_TRIAL_DELAY
+        await async_advance(FIRST_TRIAL_DELAY.total_seconds() + 1)
+        assert await first.quarantine.async_try(CRASHING_REQUEST)
+        await async_advance(_PROPAGATION_SECONDS)
+        held = (await cluster.async_add()).quarantine.held(CRASHING_REQUEST)
+        assert held is not None and held.retry_after > 2 * FIRST_TRIAL_DELAY
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_without_the_store_there_is_no_trial() -> None:
-    """Each gateway that is cut off would run the request once."""
+def test_no_trial_is_claimed_without_the_store() -> None:
+    """Otherwise each gateway that cannot reach the store would run the request once."""
 
-    async def scene(fleet: Fleet) -> None:
-        first, second = fleet.nodes
+    async def scenario(cluster: Cluster) -> None:
+        first, second = cluster.nodes
         await first.async_crash("a", "b", "c")
-        await async_pause(_SOON)
+        await async_advance(_PROPAGATION_SECONDS)
         second.link.silent = True
-        await async_pause(2 * FIRST_TRIAL_DELAY.total_seconds())
-        assert not await second.quarantine.async_try(POISON)
+        await async_advance(2 * FIRST_TRIAL_DELAY.total_seconds())
+        assert not await second.quarantine.async_try(CRASHING_REQUEST)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_held_request_tells_when_its_trial_is_due() -> None:
-    """What a caller is told as time to come back goes down to it."""
+def test_held_request_reports_the_time_until_its_trial() -> None:
+    """The retry delay given to callers must count down to the trial: 15 s are left after 5 s."""
 
-    async def scene(fleet: Fleet) -> None:
-        (node,) = fleet.nodes
+    async def scenario(cluster: Cluster) -> None:
+        (node,) = cluster.nodes
         await node.async_crash("a", "b", "c")
-        await async_pause(5)
-        held = node.quarantine.held(POISON)
+        await async_advance(5)
+        held = node.quarantine.held(CRASHING_REQUEST)
         assert held is not None and held.crashes == 3
         assert 14 < held.retry_after.total_seconds() <= 15
 
-    play(scene, gateways=1)
+    run_scenario(scenario, gateways=1)
 
 
-def test_an_operator_releases_a_request_everywhere() -> None:
-    """The first gateway was asked; the others run it again, too, and a request that nobody knows is told as such."""
+def test_release_by_an_operator_applies_to_every_gateway() -> None:
+    """A release at one gateway must reach the others. An unknown request must return None."""
 
-    async def scene(fleet: Fleet) -> None:
-        first, second = fleet.nodes
+    async def scenario(cluster: Cluster) -> None:
+        first, second = cluster.nodes
         await second.async_crash("a", "b", "c")
-        await async_pause(_SOON)
+        await async_advance(_PROPAGATION_SECONDS)
         (row,) = first.quarantine.suspected()
         assert (row.fingerprint, row.upstreams, row.record.request_id) == (
-            POISON,
+            CRASHING_REQUEST,
             ("a", "b", "c"),
             "id-c",
         )
         assert row.trial_in is not None
-        assert await first.quarantine.async_release(POISON)
-        assert await first.quarantine.async_release(BESIDE) is None
-        await async_pause(_SOON)
+        assert await first.quarantine.async_release(CRASHING_REQUEST)
+        assert await first.quarantine.async_release(OTHER_REQUEST) is None
+        await async_advance(_PROPAGATION_SECONDS)
         assert not second.quarantine.suspecting
 
-    play(scene)
+    run_scenario(scenario)
+
 
+def test_release_without_the_store_is_reported_and_published_later() -> None:
+    """The store refuses appends during a release.
 
-def test_a_release_that_the_store_does_not_have_yet_is_told_so() -> None:
-    """It holds at this gateway, and goes to the others when the store is back."""
+    The release applies to this gateway at once, and to the others when the store is back.
+    """
 
-    async def scene(fleet: Fleet) -> None:
-        first, second = fleet.nodes
+    async def scenario(cluster: Cluster) -> None:
+        first, second = cluster.nodes
         await first.async_crash("a", "b", "c")
-        await async_pause(_SOON)
+        await async_advance(_PROPAGATION_SECONDS)
         first.link.refusing = lambda _topic, _part: True
-        assert await first.quarantine.async_release(POISON) is False
-        assert not first.holds() and second.holds()
+        assert await first.quarantine.async_release(CRASHING_REQUEST) is False
+        assert not first.is_held() and second.is_held()
         first.link.refusing = lambda _topic, _part: False
-        await async_pause(1)
-        assert not second.holds()
+        await async_advance(1)
+        assert not second.is_held()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_what_is_too_old_goes_from_the_store_as_well() -> None:
-    """One of the gateways deletes it, also where the one that wrote it is gone."""
+def test_expired_crashes_are_deleted_from_the_store() -> None:
+    """One of the live gateways must delete them, even if the gateway that wrote them has ended."""
 
-    async def scene(fleet: Fleet) -> None:
-        first, second, _ = fleet.nodes
+    async def scenario(cluster: Cluster) -> None:
+        first, second, _ = cluster.nodes
         await first.async_crash("a")
-        await second.async_crash("b", "c", "d", request=BESIDE)
-        await async_pause(1)
-        fleet.live.discard(first.name)
-        await async_pause(CRASH_TTL.total_seconds() + 40)
-        assert fleet.kept() == {f"{BESIDE}/{upstream}" for upstream in "bcd"}
-        await async_pause(HELD_CRASH_TTL.total_seconds())
-        assert fleet.kept() == set()
-        assert not any(node.quarantine.suspecting for node in fleet.nodes)
+        await second.async_crash("b", "c", "d", request=OTHER_REQUEST)
+        await async_advance(1)
+        cluster.live.discard(first.name)
+        await async_advance(CRASH_TTL.total_seconds() + 40)
+        assert cluster.stored_keys() == {f"{OTHER_REQUEST}/{upstream}" for upstream in "bcd"}
+        await async_advance(HELD_CRASH_TTL.total_seconds())
+        assert cluster.stored_keys() == set()
+        assert not any(node.quarantine.suspecting for node in cluster.nodes)
 
-    play(scene, gateways=3)
+    run_scenario(scenario, gateways=3)
 
 
-def test_records_of_other_writers_change_nothing() -> None:
-    """Keys and values that are none of ours are counted, and what follows them is taken."""
+def test_invalid_records_are_counted_and_ignored() -> None:
+    """Another writer appends invalid keys and values. Later records must still be applied."""
 
-    async def scene(fleet: Fleet) -> None:
-        (node,) = fleet.nodes
-        link, crash = StoreLink(fleet.store), CrashRecord("n9", 0.0)
+    async def scenario(cluster: Cluster) -> None:
+        (node,) = cluster.nodes
+        link, crash = StoreLink(cluster.store), CrashRecord("n9", 0.0)
         for key, value in (
             ("nothing", b"x"),
-            (f"{POISON}/a", b"\xc1"),
-            (f"{POISON}/", msgspec.msgpack.encode(crash)),
-            (f"{POISON}/b", msgspec.msgpack.encode(["trial", "n9", 1.0, 7])),
-            (f"{POISON}/c", msgspec.msgpack.encode(["crash", "n9", "soon"])),
+            (f"{CRASHING_REQUEST}/a", b"\xc1"),
+            (f"{CRASHING_REQUEST}/", msgspec.msgpack.encode(crash)),
+            (f"{CRASHING_REQUEST}/b", msgspec.msgpack.encode(["trial", "n9", 1.0, 7])),
+            (f"{CRASHING_REQUEST}/c", msgspec.msgpack.encode(["crash", "n9", "soon"])),
         ):
             link.put(TOPIC, key, value)
-        await async_pause(_SOON)
+        await async_advance(_PROPAGATION_SECONDS)
         assert not node.quarantine.suspecting
         drops = "cranberryline_drops_total"
         assert node.metrics.value(drops, reason="quarantine_key_unreadable") == 1
         assert node.metrics.value(drops, reason="quarantine_unreadable") == 4
         await node.async_crash("a", "b", "c")
-        assert node.holds()
+        assert node.is_held()
 
-    play(scene, gateways=1)
+    run_scenario(scenario, gateways=1)
 
 
-def test_a_storm_of_crashes_leaves_a_bounded_record() -> None:
-    """Thousands of requests run at upstreams that crash: what is told of them goes with what is counted."""
+def test_stored_details_stay_bounded_when_many_requests_are_suspected() -> None:
+    """More requests than the limit are suspected; details of evicted requests must be discarded."""
 
-    async def scene(fleet: Fleet) -> None:
-        (node,) = fleet.nodes
+    async def scenario(cluster: Cluster) -> None:
+        (node,) = cluster.nodes
         for number in range(MAX_TRACKED_REQUESTS + 200):
             record = CrashRecord("n9", node.clock.now().timestamp())
             value = msgspec.msgpack.encode(record)
-            StoreLink(fleet.store).put(TOPIC, f"{number:032x}/u{number}", value)
-        await async_pause(1)
+            StoreLink(cluster.store).put(TOPIC, f"{number:032x}/u{number}", value)
+        await async_advance(1)
         assert len(node.quarantine.suspected()) == MAX_TRACKED_REQUESTS
-        assert len(node.quarantine._records) == MAX_TRACKED_REQUESTS
+        assert len(node.quarantine._latest_crashes) == MAX_TRACKED_REQUESTS
 
-    play(scene, gateways=1)
+    run_scenario(scenario, gateways=1)
 
 
-def test_counters_tell_what_is_held_and_why() -> None:
-    """Looks, holds and their changes are counted; the gauge follows."""
+def test_metrics_count_crashes_and_held_requests() -> None:
+    """Attributed crashes and changes of held requests are counted, and the gauge follows."""
 
-    async def scene(fleet: Fleet) -> None:
-        (node,) = fleet.nodes
+    async def scenario(cluster: Cluster) -> None:
+        (node,) = cluster.nodes
         value = node.metrics.value
         await node.async_crash("a", "b", "c")
         assert value("cranberryline_requests_held") == 1
         assert value("cranberryline_broken_runs_total", outcome="blamed") == 3
         assert value("cranberryline_request_holds_total", change="held") == 1
-        node.quarantine.answered(POISON)
+        node.quarantine.answered(CRASHING_REQUEST)
         assert value("cranberryline_requests_held") == 0
         assert value("cranberryline_request_holds_total", change="answered") == 1
 
-    play(scene, gateways=1)
+    run_scenario(scenario, gateways=1)
 
 
-def test_a_fingerprint_tells_callers_methods_paths_and_bodies_apart() -> None:
-    """Fields that read alike side by side are not taken for each other; the same request is the same everywhere."""
-    asked = [
+def test_fingerprints_of_different_requests_differ() -> None:
+    """Requests that differ in one field, or whose concatenated fields are equal, must differ."""
+    requests = [
         ("h", "", "GET", "/x", b""),
         ("h", "", "POST", "/x", b""),
         ("h", "", "GET", "/x?a=1", b""),
@@ -374,5 +396,5 @@
         ("hG", "", "ET", "/x", b""),
         ("other", "", "GET", "/x", b""),
     ]
-    assert len({fingerprint(*each) for each in asked}) == len(asked)
-    assert fingerprint(*asked[0]) == fingerprint("h", "", "GET", "/x", b"")
+    assert len({fingerprint(*each) for each in requests}) == len(requests)
+    assert fingerprint(*requests[0]) == fingerprint("h", "", "GET", "/x", b"")
--- a/tests/upstreams/test_directory.py
+++ b/tests/upstreams/test_directory.py
@@ -1,4 +1,4 @@
-"""Registrations: incarnations, draining, and entries that lapse in an outage."""
+"""Registrations of upstreams: restarts, drains, store outages and invalid entries."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -18,51 +18,51 @@
 
 @pytest.fixture
 def health(clock: FakeClock) -> StoreHealth:
-    """Return a store that has not failed."""
+    """Return the health of a store that has not failed."""
     return StoreHealth(clock)
 
 
 @pytest.fixture
 def directory(clock: FakeClock, health: StoreHealth) -> Directory:
-    """Return a directory that knows one upstream."""
-    made = Directory(clock, health)
-    made.put(ROW)
-    return made
+    """Return a directory with one registered upstream."""
+    created = Directory(clock, health)
+    created.put(ROW)
+    return created
 
 
 def _usable(directory: Directory) -> list[str]:
     return [vm.id for vm in directory.membership.upstreams()]
 
 
-def test_an_upstream_that_drains_gets_nothing_more_for_good(directory: Directory) -> None:
-    """A beat that was written before the notice and is told after it takes nothing back."""
+def test_drain_is_not_undone_by_an_older_heartbeat(directory: Directory) -> None:
+    """A heartbeat is written before the drain notice but read after it. The drain must persist."""
     directory.put(attrs.evolve(ROW, draining=True))
     assert _usable(directory) == []
     directory.put(ROW)
     assert _usable(directory) == []
 
 
-def test_a_new_incarnation_at_the_same_address_is_another_upstream(directory: Directory) -> None:
-    """The old one's draining says nothing of it."""
+def test_new_id_at_the_same_address_is_another_upstream(directory: Directory) -> None:
+    """The drain of the old upstream must not apply to the new one."""
     directory.put(attrs.evolve(ROW, draining=True))
     directory.put(attrs.evolve(ROW, id="i-2"))
     assert _usable(directory) == ["i-2"]
 
 
-def test_a_removed_entry_counts_at_once_while_the_store_is_well(directory: Directory) -> None:
-    """No work goes there any more."""
+def test_registration_is_removed_at_once_while_the_store_is_healthy(directory: Directory) -> None:
+    """A removed upstream must get no more work."""
     directory.put(attrs.evolve(ROW, id="i-2"))
     directory.remove("i-1")
     assert _usable(directory) == ["i-2"]
 
 
-def test_entries_that_lapsed_in_an_outage_are_kept_until_they_had_time_to_return(
+def test_registrations_that_lapse_in_a_store_outage_are_kept_for_a_grace_period(
     directory: Directory, health: StoreHealth, clock: FakeClock
 ) -> None:
-    """Callers see an outage of the store that empties a service for two seconds.
+    """A store outage would leave a service without upstreams for two seconds.
 
-    Each upstream is well; its entry lapsed because it could not be renewed. Taken as gone at once,
-    every request of the service would be refused until the entries are back.
+    The upstreams are healthy; their registrations expire because they cannot be renewed. If they
+    were removed at once, every request of the service would be refused until they are back.
     """
     directory.put(attrs.evolve(ROW, id="i-2"))
     health.failed(StoreError(StoreProblem.REFUSED), "read")
@@ -77,10 +77,10 @@
     assert _usable(directory) == ["i-1"]
 
 
-def test_a_drained_entry_that_goes_in_an_outage_is_gone(
+def test_draining_upstream_is_removed_at_once_in_a_store_outage(
     directory: Directory, health: StoreHealth
 ) -> None:
-    """It had said that it leaves."""
+    """Its end was announced, so there is no grace period."""
     directory.put(attrs.evolve(ROW, id="i-2"))
     directory.put(attrs.evolve(ROW, draining=True))
     health.failed(StoreError(StoreProblem.REFUSED), "read")
@@ -88,8 +88,8 @@
     assert directory.get("i-1") is None
 
 
-def test_what_an_answer_tells_of_a_version_goes_before_the_entry(directory: Directory) -> None:
-    """The entry is a beat behind; the next beat is newer again."""
+def test_version_from_a_response_overrides_an_older_registration(directory: Directory) -> None:
+    """A registration may be older than a response by one heartbeat; the next one is newer."""
     assert directory.version("i-1", "m") == 1
     directory.learn("i-1", "m", 2)
     assert directory.version("i-1", "m") == 2
@@ -98,147 +98,158 @@
     assert directory.version("i-9", "m") is None
 
 
-def test_engines_are_those_with_models_that_stay(directory: Directory) -> None:
-    """Plain services and draining engines take no orders."""
+def test_engines_exclude_plain_services_and_draining_upstreams(directory: Directory) -> None:
+    """Upstreams without models and draining engines must not receive weight orders."""
     directory.put(attrs.evolve(ROW, id="i-2", versions={}))
     directory.put(attrs.evolve(ROW, id="i-3", draining=True))
     assert [row.id for row in directory.engines()["files"]] == ["i-1"]
 
 
-# An upstream may start again under its id. Callers see refusals, or none of its answers, where what
-# was known of its former start is taken for the new one: it said that it leaves, the store told an
-# older beat of it late, or it lost the model that it served.
+# An upstream may restart under its id. Callers would see refusals or missing responses if state of
+# the earlier incarnation applied to the new one: its drain, a heartbeat that is read late, or the
+# version of a model that the new one has not loaded.
 FIRST = attrs.evolve(ROW, born=100)
 SECOND = attrs.evolve(ROW, born=200, address="10.0.0.2:80")
 
 
 @pytest.fixture
-def starts(clock: FakeClock, health: StoreHealth) -> Directory:
-    """Return a directory that knows an upstream's first start."""
-    made = Directory(clock, health)
-    made.put(FIRST).unwrap()
-    return made
+def timed_directory(clock: FakeClock, health: StoreHealth) -> Directory:
+    """Return a directory with the first incarnation of an upstream that gives its start time."""
+    created = Directory(clock, health)
+    created.put(FIRST).unwrap()
+    return created
 
 
 def _addresses(directory: Directory) -> list[str]:
     return [vm.address for vm in directory.membership.upstreams()]
 
 
-def test_a_newer_start_takes_the_place_of_a_draining_one_at_once(starts: Directory) -> None:
-    """It drained, went and started again: neither the notice nor the drain's end is waited for."""
-    starts.put(attrs.evolve(FIRST, draining=True)).unwrap()
-    assert _addresses(starts) == []
-    starts.put(SECOND).unwrap()
-    assert _addresses(starts) == ["http://10.0.0.2:80"]
-    starts.put(attrs.evolve(SECOND, draining=True)).unwrap()
-    starts.put(SECOND).unwrap()
-    assert _addresses(starts) == []
-
-
-def test_an_older_start_told_late_changes_nothing(starts: Directory) -> None:
-    """Also after the newer one's entry has gone: what is over stays over."""
-    starts.put(SECOND).unwrap()
-    assert starts.put(attrs.evolve(FIRST, draining=True)) == Err(RegistrationProblem.OLD_START)
-    assert _addresses(starts) == ["http://10.0.0.2:80"]
-    starts.remove("i-1")
-    starts.put(FIRST)
-    assert _addresses(starts) == []
-    starts.put(SECOND).unwrap()
-    assert _addresses(starts) == ["http://10.0.0.2:80"]
-
-
-def test_what_was_learned_of_a_start_ends_with_it(starts: Directory) -> None:
-    """It starts again without the model, or with an older version; late answers add nothing."""
-    starts.learn(FIRST.key, "m", 9)
-    starts.put(attrs.evolve(SECOND, versions={})).unwrap()
-    starts.learn(FIRST.key, "m", 9)
-    assert [starts.version(row.key, "m") for row in (FIRST, SECOND)] == [None, None]
+def test_new_incarnation_replaces_a_draining_one_at_once(timed_directory: Directory) -> None:
+    """An upstream drains, ends and restarts; the drain must not delay the new incarnation."""
+    timed_directory.put(attrs.evolve(FIRST, draining=True)).unwrap()
+    assert _addresses(timed_directory) == []
+    timed_directory.put(SECOND).unwrap()
+    assert _addresses(timed_directory) == ["http://10.0.0.2:80"]
+    timed_directory.put(attrs.evolve(SECOND, draining=True)).unwrap()
+    timed_directory.put(SECOND).unwrap()
+    assert _addresses(timed_directory) == []
+
+
+def test_older_incarnation_read_late_changes_nothing(timed_directory: Directory) -> None:
+    """An entry of a replaced incarnation must not apply, even if the newer one was removed."""
+    timed_directory.put(SECOND).unwrap()
+    assert timed_directory.put(attrs.evolve(FIRST, draining=True)) == Err(
+        RegistrationProblem.OLD_START
+    )
+    assert _addresses(timed_directory) == ["http://10.0.0.2:80"]
+    timed_directory.remove("i-1")
+    timed_directory.put(FIRST)
+    assert _addresses(timed_directory) == []
+    timed_directory.put(SECOND).unwrap()
+    assert _addresses(timed_directory) == ["http://10.0.0.2:80"]
+
+
+def test_versions_of_a_replaced_incarnation_are_discarded(timed_directory: Directory) -> None:
+    """An upstream restarts without the model, or with an older version.
+
+    Versions from responses of the replaced incarnation, also late ones, must not apply.
+    """
+    timed_directory.learn(FIRST.key, "m", 9)
+    timed_directory.put(attrs.evolve(SECOND, versions={})).unwrap()
+    timed_directory.learn(FIRST.key, "m", 9)
+    assert [timed_directory.version(row.key, "m") for row in (FIRST, SECOND)] == [None, None]
     third = attrs.evolve(SECOND, born=300, versions={"m": 3})
-    starts.put(third).unwrap()
-    assert starts.version(third.key, "m") == 3
+    timed_directory.put(third).unwrap()
+    assert timed_directory.version(third.key, "m") == 3
 
 
-def test_a_model_that_a_start_no_longer_tells_of_is_not_served(starts: Directory) -> None:
-    """A beat is newer than what answers told before it."""
-    starts.learn(FIRST.key, "m", 9)
-    starts.put(attrs.evolve(FIRST, versions={})).unwrap()
-    assert starts.version(FIRST.key, "m") is None
+def test_model_missing_from_the_latest_heartbeat_is_not_served(timed_directory: Directory) -> None:
+    """A heartbeat is newer than the versions from responses before it."""
+    timed_directory.learn(FIRST.key, "m", 9)
+    timed_directory.put(attrs.evolve(FIRST, versions={})).unwrap()
+    assert timed_directory.version(FIRST.key, "m") is None
 
 
-def test_a_lapse_ends_with_the_start_that_lapsed(
-    starts: Directory, health: StoreHealth, clock: FakeClock
+def test_grace_period_of_a_replaced_incarnation_does_not_remove_the_new_one(
+    timed_directory: Directory, health: StoreHealth, clock: FakeClock
 ) -> None:
-    """The store was out, the entry lapsed, and a newer start is there before the grace is over."""
+    """A registration lapses in a store outage; the upstream restarts in the grace period."""
     health.failed(StoreError(StoreProblem.REFUSED), "read")
-    starts.remove("i-1")
-    starts.put(SECOND).unwrap()
+    timed_directory.remove("i-1")
+    timed_directory.put(SECOND).unwrap()
     clock.advance(timedelta(seconds=5))
-    starts.expire()
-    assert _addresses(starts) == ["http://10.0.0.2:80"]
+    timed_directory.expire()
+    assert _addresses(timed_directory) == ["http://10.0.0.2:80"]
 
 
-def test_the_end_of_a_start_is_told_once_and_at_once(starts: Directory) -> None:
-    """Who has work there hears of it with the newer start, also where the entry had gone before."""
-    over: list[str] = []
-    starts.listen_over(over.append)
-    starts.put(FIRST)
-    starts.remove("i-1")
-    assert over == []
-    starts.put(SECOND)
-    starts.put(SECOND)
-    starts.put(FIRST)
-    assert over == [FIRST.key]
+def test_replaced_incarnation_is_reported_once_and_at_once(timed_directory: Directory) -> None:
+    """Listeners are called when the newer one registers, even if the old one was removed."""
+    superseded: list[str] = []
+    timed_directory.listen_over(superseded.append)
+    timed_directory.put(FIRST)
+    timed_directory.remove("i-1")
+    assert superseded == []
+    timed_directory.put(SECOND)
+    timed_directory.put(SECOND)
+    timed_directory.put(FIRST)
+    assert superseded == [FIRST.key]
 
 
-def test_an_entry_that_names_no_upstream_takes_its_key_out_of_use_and_nothing_else(
-    starts: Directory, clock: FakeClock, health: StoreHealth
+def test_invalid_entry_disables_only_its_own_upstream(
+    timed_directory: Directory, clock: FakeClock, health: StoreHealth
 ) -> None:
-    """The next sound entry brings it back, not drained; in a lapse as well, and where it is alone."""
+    """The next valid entry must restore the upstream without a drain.
+
+    The same applies during a grace period, and if no other upstream is left.
+    """
     other = attrs.evolve(ROW, id="i-2", address="10.0.0.9:80")
-    starts.put(other)
-    starts.refuse("i-1", RegistrationProblem.BAD_STATE)
-    assert _addresses(starts) == ["http://10.0.0.9:80"]
-    starts.refuse("i-2", RegistrationProblem.UNREADABLE)
-    assert _addresses(starts) == []
-    starts.put(FIRST).unwrap()
-    assert _addresses(starts) == ["http://10.0.0.1:80"]
+    timed_directory.put(other)
+    timed_directory.refuse("i-1", RegistrationProblem.BAD_STATE)
+    assert _addresses(timed_directory) == ["http://10.0.0.9:80"]
+    timed_directory.refuse("i-2", RegistrationProblem.UNREADABLE)
+    assert _addresses(timed_directory) == []
+    timed_directory.put(FIRST).unwrap()
+    assert _addresses(timed_directory) == ["http://10.0.0.1:80"]
     health.failed(StoreError(StoreProblem.REFUSED), "read")
-    starts.remove("i-1")
-    starts.refuse("i-1", RegistrationProblem.BAD_ADDRESS)
-    assert _addresses(starts) == []
-    starts.put(FIRST).unwrap()
+    timed_directory.remove("i-1")
+    timed_directory.refuse("i-1", RegistrationProblem.BAD_ADDRESS)
+    assert _addresses(timed_directory) == []
+    timed_directory.put(FIRST).unwrap()
     clock.advance(timedelta(seconds=5))
-    starts.expire()
-    assert _addresses(starts) == ["http://10.0.0.1:80"]
+    timed_directory.expire()
+    assert _addresses(timed_directory) == ["http://10.0.0.1:80"]
 
 
-def test_an_entry_without_a_start_is_another_writers_once_a_start_was_told(
-    starts: Directory,
+def test_entry_without_a_start_time_is_rejected_if_one_was_given_before(
+    timed_directory: Directory,
 ) -> None:
-    """The upstream tells its start always; where it never told one, its id is one start."""
-    assert starts.put(ROW) == Err(RegistrationProblem.BAD_START)
-    assert _addresses(starts) == []
-    starts.put(FIRST).unwrap()
-    assert _addresses(starts) == ["http://10.0.0.1:80"]
+    """An upstream gives its start time always or never, so another writer wrote such an entry."""
+    assert timed_directory.put(ROW) == Err(RegistrationProblem.BAD_START)
+    assert _addresses(timed_directory) == []
+    timed_directory.put(FIRST).unwrap()
+    assert _addresses(timed_directory) == ["http://10.0.0.1:80"]
 
 
-def test_a_beat_that_changes_nothing_publishes_nothing(starts: Directory) -> None:
-    """Thousands of upstreams beat every second or so; each list made anew costs all of them."""
-    version = starts.membership.version
+def test_unchanged_heartbeat_publishes_no_list(timed_directory: Directory) -> None:
+    """Thousands of upstreams send a heartbeat every second or so.
+
+    Each new list contains all of them, so one per heartbeat would cost too much CPU time.
+    """
+    version = timed_directory.membership.version
     for _ in range(3):
-        starts.put(FIRST)
-        starts.put(attrs.evolve(FIRST, versions={"m": 2}))
-    assert starts.membership.version == version
+        timed_directory.put(FIRST)
+        timed_directory.put(attrs.evolve(FIRST, versions={"m": 2}))
+    assert timed_directory.membership.version == version
 
 
 def test_a_burst_of_changes_is_published_once(clock: FakeClock, health: StoreHealth) -> None:
-    """A whole list is read in one turn; published for each entry, it costs the square of its size."""
-    later: list[Callable[[], None]] = []
-    made = Directory(clock, health, later.append)
+    """A whole list is read at once; publishing it per entry takes time quadratic in its size."""
+    scheduled: list[Callable[[], None]] = []
+    directory = Directory(clock, health, scheduled.append)
     for number in range(50):
-        made.put(attrs.evolve(FIRST, id=f"i-{number}"))
-    assert len(later) == 1 and made.membership.version == 0
-    later.pop()()
-    assert (len(_addresses(made)), made.membership.version) == (50, 1)
-    made.put(attrs.evolve(SECOND, id="i-1"))
-    assert len(later) == 1
+        directory.put(attrs.evolve(FIRST, id=f"i-{number}"))
+    assert len(scheduled) == 1 and directory.membership.version == 0
+    scheduled.pop()()
+    assert (len(_addresses(directory)), directory.membership.version) == (50, 1)
+    directory.put(attrs.evolve(SECOND, id="i-1"))
+    assert len(scheduled) == 1
--- a/tests/upstreams/test_membership.py
+++ b/tests/upstreams/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership view: a lagging list, drain notices, and nonsense in either."""
+"""Membership: outdated lists, drain notices, and invalid input of either kind."""
 
 from typing import Any
 
@@ -15,7 +15,7 @@
 
 
 def upstream(vm_id: str, state: VmState = VmState.LIVE, service: str = "s") -> VmEntry:
-    """Return an upstream's row."""
+    """Return the row of an upstream."""
     return VmEntry(
         vm_id,
         VmRole.UPSTREAM,
@@ -28,13 +28,13 @@
 
 
 def entry(vm_id: str) -> VmEntry:
-    """Return an entry's row."""
+    """Return the row of an entry."""
     return VmEntry(vm_id, VmRole.ENTRY, VmState.LIVE, "dc", "tcp://127.0.0.1:7000")
 
 
 @pytest.fixture
 def membership() -> Membership:
-    """Return a view that has seen a list with one entry and two upstreams."""
+    """Return a membership with one entry and two upstreams."""
     membership = Membership()
     membership.apply_list(VmList(5, (entry("e"), upstream("vm-0"), upstream("vm-1", service="t"))))
     return membership
@@ -45,23 +45,24 @@
     return [vm.id for vm in membership.upstreams()]
 
 
-def test_upstreams_by_service(membership: Membership) -> None:
-    """Entries and upstreams are told apart, and upstreams by service."""
+def test_upstreams_are_returned_by_service(membership: Membership) -> None:
+    """Entries must not be returned as upstreams, nor upstreams for another service."""
     assert [vm.id for vm in membership.entries()] == ["e"]
     assert [vm.id for vm in membership.upstreams("t")] == ["vm-1"]
 
 
 def test_upstream_without_a_side_process_is_usable(membership: Membership) -> None:
-    """An empty peer is no mistake for an upstream: it is reached at its own address."""
+    """An empty peer is valid for an upstream, which is then reached at its own address."""
     direct = attrs.evolve(upstream("vm-2"), peer="")
     assert membership.apply_list(VmList(6, (direct,))).unwrap().refused == ()
     assert usable(membership) == ["vm-2"]
 
 
-def test_late_live_does_not_undo_a_drain(membership: Membership) -> None:
-    """A side process announces its stop; the list, which lags, shows it live again and again.
+def test_outdated_list_does_not_undo_a_drain(membership: Membership) -> None:
+    """A side process announces its stop, and the lagging list still shows it as live.
 
-    What callers see: no new work goes there. The next life of the VM is usable at once.
+    The VM must get no new work, or callers would see refusals. Its next incarnation is usable at
+    once.
     """
     membership.apply_welcome("vm-0", "life-1", draining=False)
     membership.apply_drain("vm-0", "life-1")
@@ -72,8 +73,8 @@
     assert membership.state("vm-0") is MemberState.USABLE
 
 
-def test_late_drain_of_an_earlier_life_is_refused(membership: Membership) -> None:
-    """A drain notice is delayed until the VM's next life answers; that life stays usable."""
+def test_late_drain_of_an_earlier_incarnation_is_refused(membership: Membership) -> None:
+    """A drain notice arrives after the VM's next incarnation, which must stay usable."""
     membership.apply_welcome("vm-0", "life-1", draining=False)
     membership.apply_welcome("vm-0", "life-2", draining=False)
     refused = membership.apply_drain("vm-0", "life-1").unwrap_err()
@@ -82,15 +83,15 @@
 
 
 def test_leaving_is_final_for_an_id(membership: Membership) -> None:
-    """An id that was `leaving` is not used again, whatever a later list or its process says."""
+    """An id that was `leaving` must not be used again, whatever is reported about it later."""
     membership.apply_list(VmList(6, (upstream("vm-0", VmState.LEAVING), upstream("vm-1"))))
     membership.apply_list(VmList(7, (upstream("vm-0"), upstream("vm-1"))))
     membership.apply_welcome("vm-0", "life-9", draining=False)
     assert usable(membership) == ["vm-1"]
 
 
-def test_list_versions_never_go_back(membership: Membership) -> None:
-    """An answer of the list service that was overtaken by a newer one changes nothing."""
+def test_list_with_an_older_version_is_refused(membership: Membership) -> None:
+    """A response of the list service arrives after a newer one; it must change nothing."""
     membership.apply_list(VmList(6, (upstream("vm-0"),)))
     refused = membership.apply_list(VmList(5, (upstream("vm-9"),))).unwrap_err()
     assert refused.reason is MembershipReason.OLD_VERSION
@@ -108,10 +109,10 @@
         (VmList(9, ()), MembershipReason.EMPTY_LIST),
     ],
 )
-def test_nonsense_list_is_refused_whole(
+def test_invalid_list_is_refused_as_a_whole(
     membership: Membership, vm_list: Any, reason: MembershipReason
 ) -> None:
-    """A list that cannot be one changes nothing and is counted."""
+    """A list with an invalid type or version, or without rows, is counted and changes nothing."""
     before = usable(membership)
     assert membership.apply_list(vm_list).unwrap_err().reason is reason
     assert membership.refusals[reason] == 1
@@ -134,18 +135,18 @@
         {"address": "ftp://x"},
     ],
 )
-def test_nonsense_row_is_passed_over(membership: Membership, change: dict[str, Any]) -> None:
-    """One bad row is refused and counted; the others of its list are taken."""
+def test_invalid_row_is_refused_alone(membership: Membership, change: dict[str, Any]) -> None:
+    """One invalid row is refused; the other rows of its list must still apply."""
     bad = attrs.evolve(upstream("bad"), **change)
     applied = membership.apply_list(VmList(6, (bad, upstream("vm-2")))).unwrap()
     assert [row.row for row in applied.refused] == [0]
     assert usable(membership) == ["vm-2"]
 
 
-def test_id_that_stands_twice_counts_as_leaving_if_either_row_says_so(
+def test_duplicate_id_is_leaving_if_either_row_is(
     membership: Membership,
 ) -> None:
-    """Two rows of one id contradict each other: the careful reading holds."""
+    """Two rows of one id contradict each other; the VM must not get work."""
     rows = (upstream("vm-0"), upstream("vm-0", VmState.LEAVING), upstream("vm-1"))
     applied = membership.apply_list(VmList(6, rows)).unwrap()
     assert applied.refused[0].reason is MembershipReason.DUPLICATE_ID
@@ -153,15 +154,15 @@
 
 
 @pytest.mark.parametrize("notice", [("", "life"), ("vm-0", ""), (None, "life"), ("vm-0", 5)])
-def test_nonsense_notice_is_refused(membership: Membership, notice: tuple[Any, Any]) -> None:
-    """A notice without an id or incarnation changes nothing."""
+def test_invalid_notice_is_refused(membership: Membership, notice: tuple[Any, Any]) -> None:
+    """A notice without a valid id or incarnation must change nothing."""
     refused = membership.apply_drain(*notice).unwrap_err()
     assert refused.reason is MembershipReason.BAD_NOTICE
     assert usable(membership) == ["vm-0", "vm-1"]
 
 
-def test_listeners_hear_only_of_changes(membership: Membership) -> None:
-    """A listener is called once for each change of who is usable."""
+def test_listeners_are_called_only_for_changes(membership: Membership) -> None:
+    """A listener is called once per change of the usable VMs, not for each list or notice."""
     calls: list[int] = []
     membership.listen(lambda: calls.append(1))
     membership.apply_drain("vm-0", "life-1")
@@ -171,100 +172,104 @@
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """Lists, welcomes and drain notices of several lives, in any order and repeated."""
+    """Lists, welcomes and drain notices of several incarnations, in any order and repeated.
+
+    `incarnations` is the current incarnation of each VM; `reported` the newest one that the
+    membership has a notice of, and `seen` all of those.
+    """
 
     @initialize()
     def start(self) -> None:
-        """Start with all upstreams live, each in its first life."""
+        """Start with all upstreams live, each in its first incarnation."""
         self.membership = Membership()
         self.version = 1
-        self.lives = dict.fromkeys(IDS, 0)
+        self.incarnations = dict.fromkeys(IDS, 0)
         self.drained: dict[str, set[int]] = {vm_id: set() for vm_id in IDS}
-        self.met: dict[str, int] = {}
-        self.left: set[str] = set()
-        self.listed: set[str] = set(IDS)
+        self.reported: dict[str, int] = {}
+        self.left_ids: set[str] = set()
+        self.listed_ids: set[str] = set(IDS)
         self.membership.apply_list(VmList(1, tuple(map(upstream, IDS))))
 
     @rule(
         states=st.tuples(*[st.sampled_from([None, VmState.LIVE, VmState.LEAVING]) for _ in IDS]),
         newer=st.booleans(),
     )
-    def list_arrives(self, states: tuple[VmState | None, ...], newer: bool) -> None:
-        """Apply a list, or one that was overtaken."""
+    def apply_list(self, states: tuple[VmState | None, ...], newer: bool) -> None:
+        """Apply a list, which may have an outdated version."""
         version = self.version + 1 if newer else self.version
         rows = tuple(
             upstream(vm_id, state)
             for vm_id, state in zip(IDS, states, strict=True)
             if state is not None
         )
-        taken = self.membership.apply_list(VmList(version, rows)).is_ok()
-        assert taken == (newer and bool(rows or not self.listed))
-        if taken:
+        applied = self.membership.apply_list(VmList(version, rows)).is_ok()
+        assert applied == (newer and bool(rows or not self.listed_ids))
+        if applied:
             self.version = version
-            self.listed = {vm.id for vm in rows}
-            self.left |= {vm.id for vm in rows if vm.state is VmState.LEAVING}
-            for vm_id in set(IDS) - self.listed:
-                if vm_id in self.left or self.met.get(vm_id) not in self.drained[vm_id]:
-                    self.met.pop(vm_id, None)
+            self.listed_ids = {vm.id for vm in rows}
+            self.left_ids |= {vm.id for vm in rows if vm.state is VmState.LEAVING}
+            for vm_id in set(IDS) - self.listed_ids:
+                if vm_id in self.left_ids or self.reported.get(vm_id) not in self.drained[vm_id]:
+                    self.reported.pop(vm_id, None)
 
     @rule(vm_id=st.sampled_from(IDS))
     def restart(self, vm_id: str) -> None:
-        """Begin the next life of a VM."""
-        self.lives[vm_id] += 1
+        """Start the next incarnation of a VM."""
+        self.incarnations[vm_id] += 1
 
     @rule(vm_id=st.sampled_from(IDS), back=st.integers(0, 2), draining=st.booleans())
     def welcome(self, vm_id: str, back: int, draining: bool) -> None:
-        """Hear from a life, perhaps an earlier one, late."""
-        self.notice(vm_id, max(0, self.lives[vm_id] - back), draining, "welcome")
+        """Receive a welcome, perhaps a late one of an earlier incarnation."""
+        self.notice(vm_id, max(0, self.incarnations[vm_id] - back), draining, "welcome")
 
     @rule(vm_id=st.sampled_from(IDS), back=st.integers(0, 2))
     def drain(self, vm_id: str, back: int) -> None:
-        """Hear of a stop, perhaps late."""
-        self.notice(vm_id, max(0, self.lives[vm_id] - back), True, "drain")
+        """Receive a drain notice, perhaps a late one of an earlier incarnation."""
+        self.notice(vm_id, max(0, self.incarnations[vm_id] - back), True, "drain")
 
-    def notice(self, vm_id: str, life: int, draining: bool, kind: str) -> None:
-        """Apply a notice to the view and to the model.
+    def notice(self, vm_id: str, incarnation: int, draining: bool, kind: str) -> None:
+        """Apply a notice to the membership and to the model.
 
-        Lives are met in order here: one that was never heard of before its successor is told from
-        a newer one by nothing, so the model leaves it out.
+        The membership cannot tell an earlier incarnation from a newer one if the first notice of
+        it comes after its successor's. The model omits this case.
         """
-        if life < self.met.get(vm_id, 0) and not self.was_met(vm_id, life):
+        if incarnation < self.reported.get(vm_id, 0) and not self.was_reported(vm_id, incarnation):
             return
         if kind == "drain":
-            self.membership.apply_drain(vm_id, f"{vm_id}-{life}")
+            self.membership.apply_drain(vm_id, f"{vm_id}-{incarnation}")
         else:
-            self.membership.apply_welcome(vm_id, f"{vm_id}-{life}", draining)
-        if life >= self.met.get(vm_id, 0):
-            self.met[vm_id] = life
-            self.seen.setdefault(vm_id, set()).add(life)
+            self.membership.apply_welcome(vm_id, f"{vm_id}-{incarnation}", draining)
+        if incarnation >= self.reported.get(vm_id, 0):
+            self.reported[vm_id] = incarnation
+            self.seen.setdefault(vm_id, set()).add(incarnation)
             if draining:
-                self.drained[vm_id].add(life)
+                self.drained[vm_id].add(incarnation)
 
     @property
     def seen(self) -> dict[str, set[int]]:
-        """Return the lives that the view has met, by VM."""
+        """Return the incarnations of which the membership has received a notice, by VM."""
         return self.__dict__.setdefault("_seen", {})
 
-    def was_met(self, vm_id: str, life: int) -> bool:
-        """Return whether the view has met a life and still remembers its VM."""
-        return vm_id in self.met and life in self.seen.get(vm_id, set())
+    def was_reported(self, vm_id: str, incarnation: int) -> bool:
+        """Return whether the membership had a notice of an incarnation and still stores its VM."""
+        return vm_id in self.reported and incarnation in self.seen.get(vm_id, set())
 
     @invariant()
-    def no_work_for_those_that_left(self) -> None:
-        """Never use an id that was ever `leaving`, or that is not listed."""
+    def vms_that_left_are_not_usable(self) -> None:
+        """Check that no id is usable that was ever `leaving`, or that is not listed."""
         if not hasattr(self, "membership"):
             return
         found = {vm.id for vm in self.membership.upstreams()}
-        assert not found & self.left
-        assert found <= self.listed
+        assert not found & self.left_ids
+        assert found <= self.listed_ids
 
     @invariant()
-    def no_work_for_a_drained_life(self) -> None:
-        """Never use a VM whose present life announced its stop, whatever the list says."""
+    def drained_incarnations_are_not_usable(self) -> None:
+        """Check that no VM is usable whose current incarnation drains, whatever the list says."""
         if not hasattr(self, "membership"):
             return
-        for vm_id, life in self.met.items():
-            if life in self.drained[vm_id]:
+        for vm_id, incarnation in self.reported.items():
+            if incarnation in self.drained[vm_id]:
                 assert not self.membership.usable(vm_id)
 
 
@@ -272,10 +277,13 @@
 TestMembershipMachine.settings = settings(max_examples=150, stateful_step_count=40)
 
 
-def test_who_is_usable_is_worked_out_once_for_each_change(
+def test_usable_vms_are_computed_once_per_change(
     membership: Membership, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An entry asks for the live entries several times a second, of a list of 8,000 rows."""
+    """An entry requests the live entries several times a second, from a list of 8,000 rows.
+
+    Computing them each time would take too much CPU time, so they are cached until a change.
+    """
     first = (membership.entries(), membership.upstreams("dossiers"), membership.upstreams())
     monkeypatch.setattr(Membership, "state", _fail)
     again = (membership.entries(), membership.upstreams("dossiers"), membership.upstreams())
@@ -283,4 +291,4 @@
 
 
 def _fail(*_: object) -> MemberState:
-    raise AssertionError("worked out again without a change")
+    raise AssertionError("usable VMs computed again without a change")
