--- a/bench/capacity/registrations.py
+++ b/bench/capacity/registrations.py
@@ -74,7 +74,7 @@
         self.links = DirectLinks(table, directs)
         self.registrations = Registrations(platform, self.directory, routes, metrics)
         routes.apply(RouteTable(1, services={f"engines-{n}": None for n in range(_SERVICES)}))
-        self.directory.listen_over(directs.end)
+        self.directory.listen_superseded(directs.end)
         self.directory.membership.listen(lambda: self.links.apply(self.directory.membership))
 
     async def async_read(self, records: list[KeyedRecord]) -> float:
--- a/cranberryline/dispatch/dispatch.py
+++ b/cranberryline/dispatch/dispatch.py
@@ -150,7 +150,7 @@
     def suspects(self, req: CallerRequest) -> bool:
         """Tell whether an upstream has crashed under a request: no copy of it is sent then."""
         guard = self._guard
-        return guard is not None and guard.suspecting and guard.suspects(req.fingerprint)
+        return guard is not None and guard.has_suspects and guard.is_suspected(req.fingerprint)
 
     async def async_run(self, req: CallerRequest, sink: AnswerSink) -> Result[str, Refusal]:
         """Run a request to its end; return the upstream's id, or a refusal that is final."""
@@ -190,10 +190,10 @@
             outcome = await self._async_attempt(lane, turn, req, sink, trace)
             if isinstance(outcome, AttemptDone):
                 if self._guard is not None and outcome.status < _STATUS_SERVER_ERROR:
-                    self._guard.answered(req.fingerprint)
+                    self._guard.record_answer(req.fingerprint)
                 return Ok(turn.upstream.peer.vm_id)
             if self._guard is not None and may_be_crash(outcome, trace, self._clock.monotonic()):
-                await self._guard.async_broke(broken_run(req, turn.upstream.peer.vm_id))
+                await self._guard.async_report_broken_run(broken_run(req, turn.upstream.peer.vm_id))
             earlier.append(outcome)
             avoid = avoid | {turn.upstream.peer.vm_id}
             decision = self._decide_retry(lane, req, earlier, avoid)
@@ -204,12 +204,12 @@
 
     def _held(self, req: CallerRequest) -> Held | None:
         guard = self._guard
-        if guard is None or not guard.suspecting:
+        if guard is None or not guard.has_suspects:
             return None
         return guard.held(req.fingerprint)
 
     async def _async_try(self, req: CallerRequest) -> bool:
-        return self._guard is not None and await self._guard.async_try(req.fingerprint)
+        return self._guard is not None and await self._guard.async_claim_trial(req.fingerprint)
 
     async def _async_attempt(
         self,
--- a/cranberryline/gateway/app.py
+++ b/cranberryline/gateway/app.py
@@ -152,7 +152,7 @@
             self._models,
             self._lag,
             self._one_version,
-            self.directory.learn,
+            self.directory.record_version,
             clock,
             self.metrics,
         )
@@ -165,7 +165,7 @@
         self.jobs.book.listen(self._on_job)
         self.routes.listen(self._on_routes)
         self.directory.listen(self._on_registration)
-        self.directory.listen_over(self.directs.end)
+        self.directory.listen_superseded(self.directs.end)
         self.directory.membership.listen(self._on_members)
 
     @property
--- a/cranberryline/gateway/holds.py
+++ b/cranberryline/gateway/holds.py
@@ -13,7 +13,7 @@
 from cranberryline.platform.ports import PlatformPort
 from cranberryline.ports.probe import async_refuses
 from cranberryline.ports.store import SharedLog
-from cranberryline.quarantine import HeldRequest, Quarantine
+from cranberryline.quarantine import Quarantine, SuspectedRequest
 from cranberryline.upstreams.directory import Directory
 
 __all__ = ["PATH_HOLDS", "HoldsHandler", "QuarantineParts", "make_quarantine"]
@@ -61,7 +61,7 @@
         async_ended,
         lambda: tail.offset if tail.loaded.is_set() else None,
     )
-    tail = KeyedTail(parts.store, topic, parts.clock, parts.health, quarantine.take)
+    tail = KeyedTail(parts.store, topic, parts.clock, parts.health, quarantine.apply_record)
     return quarantine, tail
 
 
@@ -74,7 +74,11 @@
 
     def get(self, request: str | None) -> None:
         """Answer with all, or with one."""
-        rows = [row for row in self._quarantine.suspected() if request in (None, row.fingerprint)]
+        rows = [
+            row
+            for row in self._quarantine.suspected_requests()
+            if request in (None, row.fingerprint)
+        ]
         if request is not None and not rows:
             self._unknown()
             return
@@ -97,7 +101,7 @@
         write_problem(self, HTTPStatus.NOT_FOUND, "unknown_request", title)
 
 
-def _row(row: HeldRequest) -> dict[str, object]:
+def _row(row: SuspectedRequest) -> dict[str, object]:
     trial_in = None if row.trial_in is None else in_milliseconds(row.trial_in)
     return {
         "fingerprint": row.fingerprint,
--- a/cranberryline/gateway/registrations.py
+++ b/cranberryline/gateway/registrations.py
@@ -68,7 +68,7 @@
             self._put(row)
 
     def _refuse(self, upstream_id: str, problem: RegistrationProblem) -> None:
-        self._directory.refuse(upstream_id, problem)
+        self._directory.reject(upstream_id, problem)
         self._count(problem)
 
     def _count(self, problem: RegistrationProblem) -> None:
--- a/cranberryline/jobs/sink.py
+++ b/cranberryline/jobs/sink.py
@@ -118,7 +118,7 @@
         version = self._version
         if version is None:
             return
-        self._context.versions.learn(self.upstream, self._state.job.model, version)
+        self._context.versions.record_version(self.upstream, self._state.job.model, version)
         min_version = self._state.job.min_version
         if min_version is not None and version < min_version:
             self._abort("stale_version")
--- a/cranberryline/quarantine/guard.py
+++ b/cranberryline/quarantine/guard.py
@@ -59,11 +59,11 @@
 
     @property
     @abc.abstractmethod
-    def suspecting(self) -> bool:
+    def has_suspects(self) -> bool:
         """Return whether any request is suspected; if not, single requests need no check."""
 
     @abc.abstractmethod
-    def suspects(self, request: str) -> bool:
+    def is_suspected(self, request: str) -> bool:
         """Return whether an upstream crashed under a request, held or not."""
 
     @abc.abstractmethod
@@ -71,13 +71,13 @@
         """Return the state of a held request, or None if it may run."""
 
     @abc.abstractmethod
-    async def async_try(self, request: str) -> bool:
-        """Claim the due trial of a held request; return True for at most one of all gateways."""
+    async def async_claim_trial(self, request: str) -> bool:
+        """Claim the due trial of a held request; return True at one gateway at most."""
 
     @abc.abstractmethod
-    async def async_broke(self, run: BrokenRun) -> None:
-        """Report an interrupted run; return once its upstream was probed, or after a timeout."""
+    async def async_report_broken_run(self, run: BrokenRun) -> None:
+        """Report a broken run; return once its upstream was probed, or after a timeout."""
 
     @abc.abstractmethod
-    def answered(self, request: str) -> None:
+    def record_answer(self, request: str) -> None:
         """Record that an upstream ran a request to a valid response."""
--- a/cranberryline/quarantine/keeper.py
+++ b/cranberryline/quarantine/keeper.py
@@ -21,7 +21,7 @@
 from .records import CrashRecord, TrialRecord, crash_key, decode_record, parse_key, trial_key
 from .writer import RecordWriter
 
-__all__ = ["HeldRequest", "Quarantine"]
+__all__ = ["Quarantine", "SuspectedRequest"]
 
 _LOGGER = get_logger(__name__)
 
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class HeldRequest:
+class SuspectedRequest:
     """A suspected request as shown to operators; `trial_in` is None if the request is not held."""
 
     fingerprint: str
@@ -47,11 +47,11 @@
 class Quarantine(RequestGuard):
     """Attributes crashes to the requests that ran there and shares them through the store.
 
-    `live` returns the ids of the live gateways. `refuses` checks whether an upstream refuses
-    connections, that is, whether its process has ended. `in_use` returns whether an upstream is
-    registered and not draining: one that is shut down as planned also interrupts its runs, which
-    must not count as a crash. `end` returns the offset up to which this node has read the topic,
-    or None before its first read is complete.
+    `live_nodes` returns the ids of the live gateways. `async_refuses_connections` checks whether an
+    upstream refuses connections, that is, whether its process has ended. `in_use` returns whether
+    an upstream is registered and not draining: one that is shut down as planned also breaks off its
+    runs, which must not count as a crash. `tail_offset` returns the offset up to which this node
+    has read the topic, or None before its first read is complete.
     """
 
     def __init__(
@@ -62,10 +62,10 @@
         health: StoreHealth,
         metrics: Metrics,
         node: str,
-        live: Callable[[], Collection[str]],
+        live_nodes: Callable[[], Collection[str]],
         in_use: Callable[[str], bool],
-        refuses: Callable[[str], Awaitable[bool]],
-        end: Callable[[], int | None],
+        async_refuses_connections: Callable[[str], Awaitable[bool]],
+        tail_offset: Callable[[], int | None],
     ) -> None:
         self._log = log
         self._topic = topic
@@ -73,10 +73,10 @@
         self._health = health
         self._metrics = metrics
         self._node = node
-        self._live = live
+        self._live_nodes = live_nodes
         self._in_use = in_use
-        self._refuses = refuses
-        self._end = end
+        self._async_refuses_connections = async_refuses_connections
+        self._tail_offset = tail_offset
         self._attribution = CrashAttribution()
         self._recent_answers = RecentAnswers()
         self._latest_crashes: dict[str, CrashRecord] = {}
@@ -90,11 +90,11 @@
         metrics.held.set_function(lambda: len(self._attribution.held_requests()))
 
     @property
-    def suspecting(self) -> bool:
+    def has_suspects(self) -> bool:
         """Return whether any request is suspected."""
         return len(self._attribution) > 0
 
-    def suspects(self, request: str) -> bool:
+    def is_suspected(self, request: str) -> bool:
         """Return whether an upstream crashed under a request."""
         return request in self._attribution
 
@@ -105,13 +105,13 @@
             return None
         return Held(len(hold.upstreams), max(hold.trial_at - self._clock.monotonic(), timedelta()))
 
-    async def async_try(self, request: str) -> bool:
+    async def async_claim_trial(self, request: str) -> bool:
         """Claim a due trial by a conditional append, which succeeds at one gateway only.
 
         The record is written before the run, so that the trial counts even if the gateway ends in
         between. The tail of this gateway may read the record before the append returns.
         """
-        hold, end = self._attribution.hold(request), self._end()
+        hold, end = self._attribution.hold(request), self._tail_offset()
         if hold is None or end is None or self._clock.monotonic() < hold.trial_at:
             return False
         number = hold.trials + 1
@@ -125,8 +125,8 @@
         self._log_change("trial", request, hold.upstreams, number=number)
         return True
 
-    async def async_broke(self, run: BrokenRun) -> None:
-        """Probe the upstream of an interrupted run, and record a crash if it has ended.
+    async def async_report_broken_run(self, run: BrokenRun) -> None:
+        """Probe the upstream of a broken run, and record a crash if it has ended.
 
         Returns after `_MAX_PROBE_WAIT` at the latest; the probe goes on in the background.
         """
@@ -137,13 +137,13 @@
         task.add_done_callback(self._attribution_tasks.discard)
         await asyncio.wait((task,), timeout=_MAX_PROBE_WAIT.total_seconds())
 
-    def answered(self, request: str) -> None:
+    def record_answer(self, request: str) -> None:
         """Clear a request, since one that crashes its upstreams never gets a response."""
         self._recent_answers.record(request, self._clock.monotonic())
         if request in self._attribution:
             self._clear(request, "answered")
 
-    def take(self, record: KeyedRecord) -> None:
+    def apply_record(self, record: KeyedRecord) -> None:
         """Apply a record read from the store, including those that this node wrote."""
         parsed = parse_key(record.key)
         if parsed is None:
@@ -167,7 +167,7 @@
             return
         self._add_crash(request, upstream, decoded)
 
-    def suspected(self) -> list[HeldRequest]:
+    def suspected_requests(self) -> list[SuspectedRequest]:
         """Return every suspected request, held or not."""
         return [self._describe(request, record) for request, record in self._latest_crashes.items()]
 
@@ -191,7 +191,7 @@
             await self._clock.async_sleep(_EXPIRE_INTERVAL)
             for request, upstream in self._attribution.expire(self._clock.monotonic()):
                 self._discard_if_cleared(request)
-                if rendezvous.top(request, self._live()) == self._node:
+                if rendezvous.top(request, self._live_nodes()) == self._node:
                     self._writer.delete(crash_key(request, upstream), trial_key(request))
 
     async def async_close(self) -> None:
@@ -205,7 +205,7 @@
     async def _async_attribute(self, run: BrokenRun) -> None:
         """Record a crash under a request if its upstream refuses connections.
 
-        Runs interrupted at the same upstream share one probe. A request that was answered recently
+        Broken runs of the same upstream share one probe. A request that was answered recently
         is not the cause.
         """
         probe = self._probes.get(run.upstream)
@@ -236,7 +236,7 @@
         self._writer.put(key, msgspec.msgpack.encode(record))
 
     async def _async_probe(self, upstream: str) -> bool:
-        crashed = await self._refuses(upstream)
+        crashed = await self._async_refuses_connections(upstream)
         self._metrics.crash("crashed" if crashed else "listens")
         return crashed
 
@@ -317,15 +317,15 @@
             **fields,
         )
 
-    def _describe(self, request: str, record: CrashRecord) -> HeldRequest:
+    def _describe(self, request: str, record: CrashRecord) -> SuspectedRequest:
         hold, upstreams = (
             self._attribution.hold(request),
             self._attribution.crashed_upstreams(request),
         )
         if hold is None:
-            return HeldRequest(request, record, upstreams, 0, None)
+            return SuspectedRequest(request, record, upstreams, 0, None)
         trial_in = max(hold.trial_at - self._clock.monotonic(), timedelta())
-        return HeldRequest(request, record, upstreams, hold.trials, trial_in)
+        return SuspectedRequest(request, record, upstreams, hold.trials, trial_in)
 
     def _trial_in_ms(self, hold: Hold) -> int:
         return in_milliseconds(hold.trial_at - self._clock.monotonic())
--- a/cranberryline/upstreams/directory.py
+++ b/cranberryline/upstreams/directory.py
@@ -62,21 +62,22 @@
     """Applies registrations to the membership and tracks the model versions that engines serve.
 
     Registrations are addressed by upstream id, all other methods and listeners by incarnation key.
-    `later` schedules one callback soon: a list of N entries that is read at once is then published
-    once instead of N times with N rows each. With 912 entries this takes 56 ms of CPU time instead
-    of 3,769 ms; with the design size of 7,300 it is the difference between a second and minutes.
+    `call_later` schedules one callback soon, so that a list of N entries that is read at once is
+    published once instead of N times with N rows each. With 912 entries this takes 56 ms of CPU
+    time instead of 3,769 ms; with the design size of 7,300 it is the difference between a second
+    and minutes.
     """
 
     def __init__(
         self,
         clock: Clock,
         health: StoreHealth,
-        later: Callable[[Callable[[], None]], object] | None = None,
+        call_later: Callable[[Callable[[], None]], object] | None = None,
     ) -> None:
         self.membership = Membership(may_be_empty=True)
         self._clock = clock
         self._health = health
-        self._call_later = later
+        self._call_later = call_later
         self._publish_scheduled = False
         self._registrations: dict[str, Registration] = {}
         self._vm_entries: dict[str, VmEntry] = {}
@@ -93,7 +94,7 @@
         """Call a listener with each registration."""
         self._listeners.append(listener)
 
-    def listen_over(self, listener: Callable[[str], None]) -> None:
+    def listen_superseded(self, listener: Callable[[str], None]) -> None:
         """Call a listener with the key of each incarnation that a newer one replaces."""
         self._superseded_listeners.append(listener)
 
@@ -102,7 +103,7 @@
         newest = self._newest_by_id.get(registration.id)
         if newest is not None and newest.born and not registration.born:
             # An upstream gives its start time either always or never, so another writer wrote this.
-            self.refuse(registration.id, RegistrationProblem.BAD_START)
+            self.reject(registration.id, RegistrationProblem.BAD_START)
             return Err(RegistrationProblem.BAD_START)
         if newest is not None and registration.born < newest.born:
             return Err(RegistrationProblem.OLD_START)
@@ -148,7 +149,7 @@
         self._drop(key)
         self._publish()
 
-    def refuse(self, upstream_id: str, problem: RegistrationProblem) -> None:
+    def reject(self, upstream_id: str, problem: RegistrationProblem) -> None:
         """Reject an invalid entry, and stop using its upstream until the next valid entry.
 
         The invalid entry is from another writer, so what the upstream itself published about its
@@ -192,7 +193,7 @@
         registration = self._registrations.get(upstream)
         return None if registration is None else registration.versions.get(model)
 
-    def learn(self, upstream: str, model: str, version: int) -> None:
+    def record_version(self, upstream: str, model: str, version: int) -> None:
         """Record the version that a response reported; it is newer than the registration's."""
         if upstream in self._registrations:
             self._reported_versions.setdefault(upstream, {})[model] = version
--- a/cranberryline/upstreams/versions.py
+++ b/cranberryline/upstreams/versions.py
@@ -13,5 +13,5 @@
         """Return the version of a model, or None if it is unknown."""
 
     @abc.abstractmethod
-    def learn(self, upstream: str, model: str, version: int) -> None:
+    def record_version(self, upstream: str, model: str, version: int) -> None:
         """Record the version that a response of the upstream reported."""
--- a/tests/dispatch/test_guard.py
+++ b/tests/dispatch/test_guard.py
@@ -21,13 +21,13 @@
 class _Guard(RequestGuard):
     """Hold after so many broken runs, and note what is told."""
 
-    suspecting = True
+    has_suspects = True
     holds_after: int = 100
     trials: int = 0
     broken: list[BrokenRun] = attrs.field(factory=list)
     answers: list[str] = attrs.field(factory=list)
 
-    def suspects(self, request: str) -> bool:
+    def is_suspected(self, request: str) -> bool:
         """Suspect every request."""
         return True
 
@@ -37,16 +37,16 @@
             return None
         return Held(len(self.broken), timedelta(seconds=7))
 
-    async def async_try(self, request: str) -> bool:
+    async def async_claim_trial(self, request: str) -> bool:
         """Give the trials that are left."""
         self.trials -= 1
         return self.trials >= 0
 
-    async def async_broke(self, run: BrokenRun) -> None:
+    async def async_report_broken_run(self, run: BrokenRun) -> None:
         """Note a broken run."""
         self.broken.append(run)
 
-    def answered(self, request: str) -> None:
+    def record_answer(self, request: str) -> None:
         """Note an answer."""
         self.answers.append(request)
 
--- a/tests/jobs/engine_harness.py
+++ b/tests/jobs/engine_harness.py
@@ -122,7 +122,7 @@
             self._wake()
 
         self.directory.membership.listen(on_members)
-        self.directory.listen_over(directs.end)
+        self.directory.listen_superseded(directs.end)
         self.directory.listen(lambda row: routes.set_slots(row.service, row.slots))
         self.context = ItemContext(
             cast(Any, make_routes()),
--- a/tests/jobs/gateway_fake.py
+++ b/tests/jobs/gateway_fake.py
@@ -172,7 +172,7 @@
         clock, metrics = LoopClock(), Metrics()
         self.jobs.book._retention = keep
         versions = SimpleNamespace(
-            version=lambda _up, _model: engine.version, learn=lambda *_: None
+            version=lambda _up, _model: engine.version, record_version=lambda *_: None
         )
         dependencies = RunnerDependencies(
             self.jobs,
--- a/tests/jobs/test_failing_engines.py
+++ b/tests/jobs/test_failing_engines.py
@@ -63,7 +63,7 @@
         item_headers=lambda _job, _item, _last: (),
         answer_head=lambda headers: AnswerHead("", int(dict(headers)["version"])),
     )
-    versions = SimpleNamespace(version=lambda _up, _model: 1, learn=lambda *_: None)
+    versions = SimpleNamespace(version=lambda _up, _model: 1, record_version=lambda *_: None)
     table = SimpleNamespace(match=lambda _host, _path: route)
     stubs = (SimpleNamespace(table=table), engines, edge, versions)
     dependencies = [cast(Any, stub) for stub in stubs]
--- a/tests/jobs/test_restarted_engine.py
+++ b/tests/jobs/test_restarted_engine.py
@@ -77,7 +77,7 @@
     async def scenario() -> None:
         harness = EngineHarness()
         harness.add(FIRST)
-        harness.directory.learn(FIRST.key, MODEL, 3)
+        harness.directory.record_version(FIRST.key, MODEL, 3)
         restarted = harness.add(make_next_start(FIRST))
         item_task = asyncio.ensure_future(harness.async_run_item(min_version=2))
         await asyncio.sleep(1)
--- a/tests/platform/test_quarantine.py
+++ b/tests/platform/test_quarantine.py
@@ -27,10 +27,12 @@
 
 async def _async_held(scene: Scene) -> None:
     """Send what crashes upstreams until both gateways hold it."""
-    while not all(gateway.quarantine.suspected() for gateway in scene.platform.gateways) or any(
+    while not all(
+        gateway.quarantine.suspected_requests() for gateway in scene.platform.gateways
+    ) or any(
         row.trial_in is None
         for gateway in scene.platform.gateways
-        for row in gateway.quarantine.suspected()
+        for row in gateway.quarantine.suspected_requests()
     ):
         await scene.async_send(_PATH)
         await asyncio.sleep(0.05)
@@ -76,7 +78,7 @@
         assert codes.count(200) >= len(codes) - 4
         assert len(await made.platform.async_results("j1", 8)) == 8
         for gateway in made.platform.gateways:
-            assert [row.record.path for row in gateway.quarantine.suspected()] == [_PATH]
+            assert [row.record.path for row in gateway.quarantine.suspected_requests()] == [_PATH]
 
     play(scene())
 
@@ -116,7 +118,7 @@
             assert (await made.async_send(path)).code == 502
             runs = sum(len(sampler.runs) for sampler in made.platform.samplers)
             assert runs > number
-        assert not any(gateway.quarantine.suspecting for gateway in made.platform.gateways)
+        assert not any(gateway.quarantine.has_suspects for gateway in made.platform.gateways)
 
     play(scene())
 
@@ -141,7 +143,7 @@
             await busy.async_kill()
             assert (await call).code in (200, 502)
             plain.remove(busy)
-        assert not made.platform.gateways[0].quarantine.suspecting
+        assert not made.platform.gateways[0].quarantine.has_suspects
 
     play(scene())
 
@@ -195,7 +197,7 @@
         assert (await _async_holds(made.platform, 1, "DELETE", one))["code"] == 404
         assert (await _async_holds(made.platform, 1, "DELETE"))["code"] == 404
         assert (await _async_holds(made.platform, 1, request=one))["reason"] == "unknown_request"
-        await async_until(lambda: not made.platform.gateways[0].quarantine.suspecting)
+        await async_until(lambda: not made.platform.gateways[0].quarantine.has_suspects)
         for _ in range(2):
             assert (await made.async_send(_PATH)).code == 200
 
@@ -217,7 +219,7 @@
         answers = await asyncio.gather(*(made.async_send(_PATH) for _ in range(6)))
         assert [answer.code for answer in answers].count(200) >= 1
         await async_until(
-            lambda: not any(gateway.quarantine.suspecting for gateway in made.platform.gateways)
+            lambda: not any(gateway.quarantine.has_suspects for gateway in made.platform.gateways)
         )
         assert (await made.async_send(_PATH)).code == 200
 
--- a/tests/quarantine/conftest.py
+++ b/tests/quarantine/conftest.py
@@ -17,8 +17,8 @@
 OTHER_REQUEST = "0" * 31 + "2"
 
 
-def make_interrupted_run(upstream: str, request: str = CRASHING_REQUEST) -> BrokenRun:
-    """Return a run that was interrupted at an upstream."""
+def make_broken_run(upstream: str, request: str = CRASHING_REQUEST) -> BrokenRun:
+    """Return a run whose connection to an upstream ended early."""
     return BrokenRun(request, f"id-{upstream}", "files.example", "/files/x", "files", upstream)
 
 
@@ -53,7 +53,7 @@
             self._async_refuses,
             lambda: self.tail.offset if self.tail.loaded.is_set() else None,
         )
-        self.tail = KeyedTail(self.link, TOPIC, self.clock, health, self.quarantine.take)
+        self.tail = KeyedTail(self.link, TOPIC, self.clock, health, self.quarantine.apply_record)
 
     async def _async_refuses(self, upstream: str) -> bool:
         await asyncio.sleep(0.002)
@@ -73,7 +73,7 @@
     async def async_crash(self, *upstreams: str, request: str = CRASHING_REQUEST) -> None:
         """Simulate crashes of upstreams while they run a request of this gateway."""
         for upstream in upstreams:
-            await self.quarantine.async_broke(make_interrupted_run(upstream, request))
+            await self.quarantine.async_report_broken_run(make_broken_run(upstream, request))
 
     def is_held(self, request: str = CRASHING_REQUEST) -> bool:
         """Return whether this gateway holds a request."""
--- a/tests/quarantine/test_keeper.py
+++ b/tests/quarantine/test_keeper.py
@@ -15,14 +15,7 @@
 from cranberryline.quarantine import CrashRecord, fingerprint
 from tests.store_fake import StoreLink
 
-from .conftest import (
-    CRASHING_REQUEST,
-    OTHER_REQUEST,
-    TOPIC,
-    Cluster,
-    async_advance,
-    run_scenario,
-)
+from .conftest import CRASHING_REQUEST, OTHER_REQUEST, TOPIC, Cluster, async_advance, run_scenario
 
 _PROPAGATION_SECONDS = 0.2
 
@@ -64,7 +57,7 @@
         (node,) = cluster.nodes
         node.listening |= {"a", "b", "c", "d"}
         await node.async_crash("a", "b", "c", "d")
-        assert not node.quarantine.suspecting
+        assert not node.quarantine.has_suspects
         assert node.metrics.value("cranberryline_broken_runs_total", outcome="listens") == 4
 
     run_scenario(scenario, gateways=1)
@@ -77,7 +70,7 @@
         (node,) = cluster.nodes
         node.leaving |= {"a", "b", "c"}
         await node.async_crash("a", "b", "c")
-        assert not node.quarantine.suspecting
+        assert not node.quarantine.has_suspects
 
     run_scenario(scenario, gateways=1)
 
@@ -158,9 +151,9 @@
         first, second = cluster.nodes
         await first.async_crash("a", "b", "c")
         await async_advance(_PROPAGATION_SECONDS)
-        second.quarantine.answered(CRASHING_REQUEST)
+        second.quarantine.record_answer(CRASHING_REQUEST)
         await async_advance(_PROPAGATION_SECONDS)
-        assert not any(node.quarantine.suspecting for node in cluster.nodes)
+        assert not any(node.quarantine.has_suspects for node in cluster.nodes)
         assert cluster.stored_keys() == set()
 
     run_scenario(scenario)
@@ -174,7 +167,7 @@
 
     async def scenario(cluster: Cluster) -> None:
         first, second = cluster.nodes
-        first.quarantine.answered(OTHER_REQUEST)
+        first.quarantine.record_answer(OTHER_REQUEST)
         await async_advance(10)
         await second.async_crash("a", "b", "c", "d", request=OTHER_REQUEST)
         await first.async_crash("a", "b", "c", "d", request=OTHER_REQUEST)
@@ -191,9 +184,11 @@
     async def scenario(cluster: Cluster) -> None:
         await cluster.nodes[0].async_crash("a", "b", "c")
         await async_advance(1)
-        assert not await cluster.nodes[0].quarantine.async_try(CRASHING_REQUEST)
+        assert not await cluster.nodes[0].quarantine.async_claim_trial(CRASHING_REQUEST)
         await async_advance(FIRST_TRIAL_DELAY.total_seconds())
-        claimed = [await node.quarantine.async_try(CRASHING_REQUEST) for node in cluster.nodes * 2]
+        claimed = [
+            await node.quarantine.async_claim_trial(CRASHING_REQUEST) for node in cluster.nodes * 2
+        ]
         assert sum(claimed) == 1
         await async_advance(_PROPAGATION_SECONDS)
         for node in cluster.nodes:
@@ -218,8 +213,8 @@
             return appended
 
         node.link.async_append = async_append_slowly  # type: ignore[method-assign]
-        assert await node.quarantine.async_try(CRASHING_REQUEST)
-        assert not await node.quarantine.async_try(CRASHING_REQUEST)
+        assert await node.quarantine.async_claim_trial(CRASHING_REQUEST)
+        assert not await node.quarantine.async_claim_trial(CRASHING_REQUEST)
 
     run_scenario(scenario, gateways=1)
 
@@ -231,7 +226,7 @@
         first = cluster.nodes[0]
         await first.async_crash("a", "b", "c")
         await async_advance(FIRST_TRIAL_DELAY.total_seconds() + 1)
-        assert await first.quarantine.async_try(CRASHING_REQUEST)
+        assert await first.quarantine.async_claim_trial(CRASHING_REQUEST)
         await async_advance(_PROPAGATION_SECONDS)
         held = (await cluster.async_add()).quarantine.held(CRASHING_REQUEST)
         assert held is not None and held.retry_after > 2 * FIRST_TRIAL_DELAY
@@ -248,7 +243,7 @@
         await async_advance(_PROPAGATION_SECONDS)
         second.link.silent = True
         await async_advance(2 * FIRST_TRIAL_DELAY.total_seconds())
-        assert not await second.quarantine.async_try(CRASHING_REQUEST)
+        assert not await second.quarantine.async_claim_trial(CRASHING_REQUEST)
 
     run_scenario(scenario)
 
@@ -274,7 +269,7 @@
         first, second = cluster.nodes
         await second.async_crash("a", "b", "c")
         await async_advance(_PROPAGATION_SECONDS)
-        (row,) = first.quarantine.suspected()
+        (row,) = first.quarantine.suspected_requests()
         assert (row.fingerprint, row.upstreams, row.record.request_id) == (
             CRASHING_REQUEST,
             ("a", "b", "c"),
@@ -284,7 +279,7 @@
         assert await first.quarantine.async_release(CRASHING_REQUEST)
         assert await first.quarantine.async_release(OTHER_REQUEST) is None
         await async_advance(_PROPAGATION_SECONDS)
-        assert not second.quarantine.suspecting
+        assert not second.quarantine.has_suspects
 
     run_scenario(scenario)
 
@@ -322,7 +317,7 @@
         assert cluster.stored_keys() == {f"{OTHER_REQUEST}/{upstream}" for upstream in "bcd"}
         await async_advance(HELD_CRASH_TTL.total_seconds())
         assert cluster.stored_keys() == set()
-        assert not any(node.quarantine.suspecting for node in cluster.nodes)
+        assert not any(node.quarantine.has_suspects for node in cluster.nodes)
 
     run_scenario(scenario, gateways=3)
 
@@ -342,7 +337,7 @@
         ):
             link.put(TOPIC, key, value)
         await async_advance(_PROPAGATION_SECONDS)
-        assert not node.quarantine.suspecting
+        assert not node.quarantine.has_suspects
         drops = "cranberryline_drops_total"
         assert node.metrics.value(drops, reason="quarantine_key_unreadable") == 1
         assert node.metrics.value(drops, reason="quarantine_unreadable") == 4
@@ -362,7 +357,7 @@
             value = msgspec.msgpack.encode(record)
             StoreLink(cluster.store).put(TOPIC, f"{number:032x}/u{number}", value)
         await async_advance(1)
-        assert len(node.quarantine.suspected()) == MAX_TRACKED_REQUESTS
+        assert len(node.quarantine.suspected_requests()) == MAX_TRACKED_REQUESTS
         assert len(node.quarantine._latest_crashes) == MAX_TRACKED_REQUESTS
 
     run_scenario(scenario, gateways=1)
@@ -378,7 +373,7 @@
         assert value("cranberryline_requests_held") == 1
         assert value("cranberryline_broken_runs_total", outcome="blamed") == 3
         assert value("cranberryline_request_holds_total", change="held") == 1
-        node.quarantine.answered(CRASHING_REQUEST)
+        node.quarantine.record_answer(CRASHING_REQUEST)
         assert value("cranberryline_requests_held") == 0
         assert value("cranberryline_request_holds_total", change="answered") == 1
 
--- a/tests/upstreams/test_directory.py
+++ b/tests/upstreams/test_directory.py
@@ -91,7 +91,7 @@
 def test_version_from_a_response_overrides_an_older_registration(directory: Directory) -> None:
     """A registration may be older than a response by one heartbeat; the next one is newer."""
     assert directory.version("i-1", "m") == 1
-    directory.learn("i-1", "m", 2)
+    directory.record_version("i-1", "m", 2)
     assert directory.version("i-1", "m") == 2
     directory.put(attrs.evolve(ROW, versions={"m": 3}))
     assert directory.version("i-1", "m") == 3
@@ -154,9 +154,9 @@
 
     Versions from responses of the replaced incarnation, also late ones, must not apply.
     """
-    timed_directory.learn(FIRST.key, "m", 9)
+    timed_directory.record_version(FIRST.key, "m", 9)
     timed_directory.put(attrs.evolve(SECOND, versions={})).unwrap()
-    timed_directory.learn(FIRST.key, "m", 9)
+    timed_directory.record_version(FIRST.key, "m", 9)
     assert [timed_directory.version(row.key, "m") for row in (FIRST, SECOND)] == [None, None]
     third = attrs.evolve(SECOND, born=300, versions={"m": 3})
     timed_directory.put(third).unwrap()
@@ -165,7 +165,7 @@
 
 def test_model_missing_from_the_latest_heartbeat_is_not_served(timed_directory: Directory) -> None:
     """A heartbeat is newer than the versions from responses before it."""
-    timed_directory.learn(FIRST.key, "m", 9)
+    timed_directory.record_version(FIRST.key, "m", 9)
     timed_directory.put(attrs.evolve(FIRST, versions={})).unwrap()
     assert timed_directory.version(FIRST.key, "m") is None
 
@@ -185,7 +185,7 @@
 def test_replaced_incarnation_is_reported_once_and_at_once(timed_directory: Directory) -> None:
     """Listeners are called when the newer one registers, even if the old one was removed."""
     superseded: list[str] = []
-    timed_directory.listen_over(superseded.append)
+    timed_directory.listen_superseded(superseded.append)
     timed_directory.put(FIRST)
     timed_directory.remove("i-1")
     assert superseded == []
@@ -204,15 +204,15 @@
     """
     other = attrs.evolve(ROW, id="i-2", address="10.0.0.9:80")
     timed_directory.put(other)
-    timed_directory.refuse("i-1", RegistrationProblem.BAD_STATE)
+    timed_directory.reject("i-1", RegistrationProblem.BAD_STATE)
     assert _addresses(timed_directory) == ["http://10.0.0.9:80"]
-    timed_directory.refuse("i-2", RegistrationProblem.UNREADABLE)
+    timed_directory.reject("i-2", RegistrationProblem.UNREADABLE)
     assert _addresses(timed_directory) == []
     timed_directory.put(FIRST).unwrap()
     assert _addresses(timed_directory) == ["http://10.0.0.1:80"]
     health.failed(StoreError(StoreProblem.REFUSED), "read")
     timed_directory.remove("i-1")
-    timed_directory.refuse("i-1", RegistrationProblem.BAD_ADDRESS)
+    timed_directory.reject("i-1", RegistrationProblem.BAD_ADDRESS)
     assert _addresses(timed_directory) == []
     timed_directory.put(FIRST).unwrap()
     clock.advance(timedelta(seconds=5))
--- a/tests/upstreams/test_directory_any_order.py
+++ b/tests/upstreams/test_directory_any_order.py
@@ -31,7 +31,7 @@
         self.newest: dict[str, int] = {}
         self.drained: set[str] = set()
         self.superseded: list[str] = []
-        self.directory.listen_over(self.superseded.append)
+        self.directory.listen_superseded(self.superseded.append)
 
     @rule(upstream=IDS, born=START_TIMES, draining=st.booleans())
     def put(self, upstream: str, born: int, draining: bool) -> None:
@@ -53,16 +53,16 @@
         self.directory.remove(upstream)
 
     @rule(upstream=IDS)
-    def refuse(self, upstream: str) -> None:
+    def reject(self, upstream: str) -> None:
         """Reject an invalid entry."""
-        self.directory.refuse(upstream, RegistrationProblem.UNREADABLE)
+        self.directory.reject(upstream, RegistrationProblem.UNREADABLE)
         assert all(vm.name != upstream for vm in self.directory.membership.upstreams())
 
     @rule(upstream=IDS, born=START_TIMES)
-    def learn(self, upstream: str, born: int) -> None:
+    def record_version(self, upstream: str, born: int) -> None:
         """Record a version from a response, perhaps one of a replaced incarnation."""
         key = _make_registration(upstream, born, False).key
-        self.directory.learn(key, "m", 9)
+        self.directory.record_version(key, "m", 9)
         known = self.directory.get(key) is not None
         assert self.directory.version(key, "m") == (9 if known else None)
 
