--- a/cranberryline/execution/__init__.py
+++ b/cranberryline/execution/__init__.py
@@ -1,20 +1,20 @@
-"""Execution: hold an upstream's requests, run them, and say truthfully what became of each."""
+"""Run the requests of one upstream and report the outcome of each to its sender."""
 
 from .claims import ClaimService, Granted
 from .errors import FailReason, RunnerReason
 from .execution import Execution
 from .model import Held, Reply
 from .runner import Runner
-from .stream import AnswerStream
+from .stream import ResponseStream
 
 __all__ = [
-    "AnswerStream",
     "ClaimService",
     "Execution",
     "FailReason",
     "Granted",
     "Held",
     "Reply",
+    "ResponseStream",
     "Runner",
     "RunnerReason",
 ]
--- a/cranberryline/execution/claims.py
+++ b/cranberryline/execution/claims.py
@@ -1,4 +1,4 @@
-"""Claim idempotency keys on the log before a request runs, and record what came of it."""
+"""Claim idempotency keys on the log before requests run, and record the outcomes."""
 
 import asyncio
 import contextlib
@@ -28,17 +28,17 @@
 
 __all__ = ["ClaimService", "Granted", "recorded_outcome"]
 
-# Claims that come within one tick share one append. Several hundred appends a second are allowed
-# for everything; at this tick one side process takes 40 at most, and a claim waits 13 ms on average.
-CLAIM_TICK = timedelta(milliseconds=25)
+# Claims that arrive within this interval share one append. The log accepts several hundred appends
+# per second in total; one side process uses at most 40 of them, and a claim waits 13 ms on average.
+CLAIM_BATCH_INTERVAL = timedelta(milliseconds=25)
 RETRY_AFTER_OUTAGE = timedelta(seconds=2)
 RETRY_AFTER_RUNNING = timedelta(seconds=1)
-RETRY_SETTLE = timedelta(seconds=1)
-ABANDON_WAIT = timedelta(milliseconds=500)
-READ_LIMIT = 500
-# Outcomes, and as many abandons, that the log has not taken yet; beyond it the oldest are dropped
-# and their keys are told as unknown until the window ends.
-MAX_UNSETTLED = 1024
+RECORD_RETRY_DELAY = timedelta(seconds=1)
+ABANDON_TIMEOUT = timedelta(milliseconds=500)
+READ_PAGE_RECORDS = 500
+# Limits the outcomes, and separately the abandon records, that wait for the log. Beyond it the
+# oldest are dropped, and their keys are reported as unknown until the claim window ends.
+MAX_UNWRITTEN_RECORDS = 1024
 MAX_RECORDS_PER_APPEND = 256
 
 Record = tuple[str, dict[str, Any]]
@@ -46,23 +46,29 @@
 
 @attrs.frozen
 class Granted:
-    """The right to run a keyed request once, until `start_before` on the monotonic clock."""
+    """The right to run a request with an idempotency key once.
+
+    The run must begin before `start_before`, a reading of the monotonic clock.
+    """
 
     key: str
     claim_id: str
     start_before: timedelta
 
     def may_start(self, now: timedelta) -> bool:
-        """Return whether the run may still begin; to be asked directly before it does.
+        """Return whether the run may still begin; call this directly before it does.
 
-        A holder that paused past its budget finds its key told as unknown to others, and past the
-        window its key claimed anew; the budget is far below the window.
+        If the process was paused for longer than the budget, others may have been told that the
+        key's outcome is unknown; after the claim window, which is far longer than the budget, the
+        key may have been claimed again.
         """
         return now < self.start_before
 
 
 @attrs.define
-class _Pending:
+class _PendingClaim:
+    """A claim that waits for the log; `deadline` is a reading of the monotonic clock."""
+
     key: str
     claim_id: str
     fingerprint: str
@@ -74,15 +80,15 @@
 def recorded_outcome(
     status: int, headers: tuple[tuple[str, str], ...], body: bytes
 ) -> ClaimOutcome:
-    """Return what is recorded of an answer: all of it, or a digest of a large body."""
+    """Return the outcome to record; a body above `MAX_RECORDED_BODY` bytes is left out."""
     digest = hashlib.sha256(body).hexdigest()
     return ClaimOutcome(status, headers, body if len(body) <= MAX_RECORDED_BODY else None, digest)
 
 
 class ClaimService:
-    """Claim, settle and abandon the keys of one service from one side process.
+    """Claim, settle and abandon the idempotency keys of one service for one side process.
 
-    One task appends and reads while there is something to do, and ends when there is not.
+    A task appends to the log and reads from it while there is work, and ends when there is none.
     """
 
     def __init__(
@@ -100,158 +106,180 @@
         self._clock = clock
         self._fold = fold or ClaimFold()
         self._new_id = new_id
-        self._pending: list[_Pending] = []
+        self._pending: list[_PendingClaim] = []
         self._active: dict[str, Granted] = {}
         self._outcomes: dict[str, tuple[Record, ClaimOutcome]] = {}
         self._abandons: dict[str, Record] = {}
-        self._abandon_waiters: dict[str, asyncio.Future[None]] = {}
+        self._abandon_confirmations: dict[str, asyncio.Future[None]] = {}
         self._task: asyncio.Task[None] | None = None
         self._stopped = False
 
     @property
     def fold(self) -> ClaimFold:
-        """Return the fold of the claims read so far."""
+        """Return the state that results from the claim records read so far."""
         return self._fold
 
     async def async_claim(
         self, key: str, fingerprint: str, budget: timedelta
     ) -> Result[Granted, ClaimRefused]:
-        """Claim a key; only Ok allows the run, and every Err means that this call did not run."""
+        """Claim a key within the budget.
+
+        Only Ok allows the caller to run the request; any Err means that it must not run it.
+        """
         fut: asyncio.Future[Result[Granted, ClaimRefused]] = (
             asyncio.get_running_loop().create_future()
         )
         if self._stopped:
             return Err(ClaimRefused(ClaimReason.LOG_UNAVAILABLE))
         deadline = self._clock.monotonic() + budget
-        pending = _Pending(key, self._new_id(), fingerprint, budget, deadline, fut)
+        pending = _PendingClaim(key, self._new_id(), fingerprint, budget, deadline, fut)
         self._pending.append(pending)
-        self._wake()
+        self._ensure_task()
         try:
             async with asyncio.timeout(budget.total_seconds()):
                 return await fut
         except TimeoutError:
-            self._give_up(pending)
+            self._abandon_unrun(pending)
             return Err(ClaimRefused(ClaimReason.LOG_UNAVAILABLE, retry_after=RETRY_AFTER_OUTAGE))
         except asyncio.CancelledError:
-            self._give_up(pending)
+            self._abandon_unrun(pending)
             raise
 
     async def async_settle(self, claim: Granted, outcome: ClaimOutcome) -> None:
-        """Record the answer of a run; it goes to the log as soon as the log takes it."""
+        """Queue the outcome of a run for the log; the append is retried until it succeeds."""
         if self._active.pop(claim.claim_id, None) is None:
             return
         data = outcome_record(claim.key, claim.claim_id, self._incarnation, outcome)
         self._outcomes[claim.claim_id] = ((self._new_id(), data), outcome)
-        _keep_newest(self._outcomes)
-        self._wake()
+        _drop_oldest(self._outcomes)
+        self._ensure_task()
 
     def leave_unknown(self, claim: Granted) -> None:
-        """Note that a run ended without an answer to record; its key is told as unknown."""
+        """End a run that has no outcome to record; its key is reported as unknown from now on.
+
+        Does nothing if the claim was settled or abandoned before.
+        """
         self._active.pop(claim.claim_id, None)
 
     async def async_abandon(self, claim: Granted) -> None:
-        """Free the key of a granted claim that was not run and never will be.
+        """Release the key of a granted claim whose request was not run and never will be.
 
-        Return when the log has taken it, or does not for a while. A `NotRun` that overtakes the
-        abandon sends the entry to another side process, which would still find the key claimed
-        and tell the caller `in progress` of a request that nobody runs.
+        Return when the log has accepted the record, at the latest after `ABANDON_TIMEOUT`. If
+        `NotRun` arrived before the record was on the log, the entry would try another side process,
+        which would find the key still claimed and report a request as in progress that nobody runs.
         """
         if self._active.pop(claim.claim_id, None) is None:
             return
-        self._abandon(claim.key, claim.claim_id)
+        self._queue_abandon(claim.key, claim.claim_id)
         appended = asyncio.get_running_loop().create_future()
-        self._abandon_waiters[claim.claim_id] = appended
+        self._abandon_confirmations[claim.claim_id] = appended
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(ABANDON_WAIT.total_seconds()):
+            async with asyncio.timeout(ABANDON_TIMEOUT.total_seconds()):
                 await appended
-        self._abandon_waiters.pop(claim.claim_id, None)
+        self._abandon_confirmations.pop(claim.claim_id, None)
 
     async def async_stop(self) -> None:
-        """Refuse what is pending and end the task, after one last try to record outcomes."""
+        """End the task, refuse pending claims, and try once more to record outcomes."""
         self._stopped = True
         task, self._task = self._task, None
         if task is not None:
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-        for pending in self._take_pending():
+        for pending in self._pop_batch():
             self._refuse(pending, ClaimReason.LOG_UNAVAILABLE, RETRY_AFTER_OUTAGE)
         if self._outcomes or self._abandons:
-            await self._async_tick()
+            await self._async_append_batch()
 
-    def _wake(self) -> None:
+    def _ensure_task(self) -> None:
         if self._stopped:
             return
         if self._task is None or self._task.done():
-            self._task = asyncio.get_running_loop().create_task(self._async_work())
+            self._task = asyncio.get_running_loop().create_task(self._async_append_loop())
 
-    async def _async_work(self) -> None:
+    async def _async_append_loop(self) -> None:
         while self._pending or self._outcomes or self._abandons:
-            await self._clock.async_sleep(CLAIM_TICK)
-            if not await self._async_tick() and not self._pending:
-                await self._clock.async_sleep(RETRY_SETTLE)
+            await self._clock.async_sleep(CLAIM_BATCH_INTERVAL)
+            if not await self._async_append_batch() and not self._pending:
+                await self._clock.async_sleep(RECORD_RETRY_DELAY)
+
+    async def _async_append_batch(self) -> bool:
+        """Append all waiting records in one call and decide the claims among them.
 
-    async def _async_tick(self) -> bool:
-        """Append all that waits in one call and answer the claims among it."""
-        pendings = self._take_pending()
+        Return False if the append failed.
+        """
+        batch = self._pop_batch()
         records: list[Record] = [
             (
-                p.claim_id,
-                claim_record(p.key, p.claim_id, self._incarnation, p.fingerprint, p.budget),
+                claim.claim_id,
+                claim_record(
+                    claim.key, claim.claim_id, self._incarnation, claim.fingerprint, claim.budget
+                ),
             )
-            for p in pendings
+            for claim in batch
         ]
-        notes = self._notes(MAX_RECORDS_PER_APPEND - len(records))
-        if not notes and not records:
+        final_records = self._next_final_records(MAX_RECORDS_PER_APPEND - len(records))
+        if not final_records and not records:
             return True
         try:
-            appended = await self._log.async_append(self._stream, [*notes.values(), *records])
+            appended = await self._log.async_append(
+                self._stream, [*final_records.values(), *records]
+            )
             if isinstance(appended, Err):
-                await self._async_after_failed_append(pendings, appended.unwrap_err())
+                await self._async_handle_failed_append(batch, appended.unwrap_err())
                 return False
-            for claim_id in notes:
+            for claim_id in final_records:
                 self._outcomes.pop(claim_id, None)
                 self._abandons.pop(claim_id, None)
-                self._tell_abandoned(claim_id)
-            if pendings:
-                await self._async_decide(pendings, max(appended.unwrap()))
+                self._confirm_abandoned(claim_id)
+            if batch:
+                await self._async_read_and_decide(batch, max(appended.unwrap()))
         except BaseException:
-            # Cancelled or broken between append and decision: the claims may stand on the log
-            # though nobody will run them, so they are refused here and abandoned later.
-            self._refuse_unsure(pendings)
+            # After a cancellation or an error between append and decision, the claims may be on the
+            # log although nobody will run them. They are refused now and abandoned later.
+            self._refuse_and_abandon(batch)
             raise
         return True
 
-    async def _async_after_failed_append(
-        self, pendings: list[_Pending], exc: PlatformError
+    async def _async_handle_failed_append(
+        self, batch: list[_PendingClaim], exc: PlatformError
     ) -> None:
-        """Read back by id what a lost answer may hide; what is not found is refused."""
-        if not pendings:
+        """Handle claims whose append failed or was not confirmed.
+
+        An unconfirmed append may have succeeded, so its claims are looked up on the log by id.
+        Claims that are not found are refused.
+        """
+        if not batch:
             return
         if not exc.may_have_run:
-            for pending in pendings:
+            for pending in batch:
                 self._refuse(pending, ClaimReason.LOG_UNAVAILABLE, RETRY_AFTER_OUTAGE)
             return
         if not await self._async_read_until(None):
-            self._refuse_unsure(pendings)
+            self._refuse_and_abandon(batch)
             return
-        found = [p for p in pendings if self._fold.has_seen(p.claim_id)]
-        # An append that is not on the log yet may still arrive there. Running on the strength of
-        # "not found" would race it; so the call is refused, not run, and the claim is abandoned
-        # for the case that it shows up.
-        self._refuse_unsure([p for p in pendings if not self._fold.has_seen(p.claim_id)])
-        await self._async_answer(found)
-
-    async def _async_decide(self, pendings: list[_Pending], offset: int) -> None:
+        found = [claim for claim in batch if self._fold.has_seen(claim.claim_id)]
+        # An append that is not on the log yet may still arrive there. Running the request because
+        # its claim was not found would race with that, so the call is refused, and the claim is
+        # abandoned in case it appears later.
+        self._refuse_and_abandon(
+            [claim for claim in batch if not self._fold.has_seen(claim.claim_id)]
+        )
+        await self._async_decide(found)
+
+    async def _async_read_and_decide(self, batch: list[_PendingClaim], offset: int) -> None:
         if not await self._async_read_until(offset):
-            self._refuse_unsure(pendings)
+            self._refuse_and_abandon(batch)
             return
-        await self._async_answer(pendings)
+        await self._async_decide(batch)
 
     async def _async_read_until(self, offset: int | None) -> bool:
-        """Read on to an offset, or to the end of the log; False when the log does not answer."""
+        """Read up to and including an offset, or to the end of the log if the offset is None.
+
+        Return False if a read failed or if the log ends before the offset.
+        """
         while offset is None or self._fold.next <= offset:
             before = self._fold.next
-            page = await self._log.async_read(self._stream, before, READ_LIMIT)
+            page = await self._log.async_read(self._stream, before, READ_PAGE_RECORDS)
             if isinstance(page, Err):
                 return False
             self._fold.apply_page(page.unwrap())
@@ -259,34 +287,34 @@
                 return offset is None
         return True
 
-    async def _async_answer(self, pendings: list[_Pending]) -> None:
-        for pending in pendings:
+    async def _async_decide(self, batch: list[_PendingClaim]) -> None:
+        for pending in batch:
             if pending.fut.done():
-                self._give_up(pending)
+                self._abandon_unrun(pending)
             elif self._fold.wins(pending.key, pending.claim_id):
                 self._grant(pending)
             else:
-                await self._async_refuse_loser(pending)
+                await self._async_refuse_losing_claim(pending)
 
-    def _grant(self, pending: _Pending) -> None:
+    def _grant(self, pending: _PendingClaim) -> None:
         granted = Granted(pending.key, pending.claim_id, pending.deadline)
         if not granted.may_start(self._clock.monotonic()):
             self._refuse(pending, ClaimReason.LOG_UNAVAILABLE, RETRY_AFTER_OUTAGE)
-            self._give_up(pending)
+            self._abandon_unrun(pending)
             return
         self._active[pending.claim_id] = granted
         pending.fut.set_result(Ok(granted))
 
-    async def _async_refuse_loser(self, pending: _Pending) -> None:
+    async def _async_refuse_losing_claim(self, pending: _PendingClaim) -> None:
         claim = self._fold.standing(pending.key)
         if claim is None:
-            # Its own claim expired or was forgotten by the log while it waited here.
+            # The claim itself expired or was deleted from the log while it waited here.
             self._refuse(pending, ClaimReason.LOG_UNAVAILABLE, RETRY_AFTER_OUTAGE)
             return
         if claim.fingerprint != pending.fingerprint:
             self._refuse(pending, ClaimReason.KEY_REUSED_WITH_OTHER_BODY)
             return
-        outcome = await self._async_outcome(claim)
+        outcome = await self._async_find_outcome(claim)
         if outcome is not None:
             refused = ClaimRefused(ClaimReason.RECORDED, outcome=outcome)
             if not pending.fut.done():
@@ -296,10 +324,10 @@
         reason = ClaimReason.IN_PROGRESS if running else ClaimReason.UNKNOWN
         self._refuse(pending, reason, RETRY_AFTER_RUNNING)
 
-    async def _async_outcome(self, claim: Claim) -> ClaimOutcome | None:
-        known = self._outcomes.get(claim.claim_id)
-        if known is not None:
-            return known[1]
+    async def _async_find_outcome(self, claim: Claim) -> ClaimOutcome | None:
+        unwritten = self._outcomes.get(claim.claim_id)
+        if unwritten is not None:
+            return unwritten[1]
         if claim.state is not ClaimState.SETTLED:
             return None
         page = await self._log.async_read(self._stream, claim.outcome_offset, 1)
@@ -317,49 +345,50 @@
         return now is not None and now <= claim.time + claim.budget + CLAIM_MARGIN
 
     def _refuse(
-        self, pending: _Pending, reason: ClaimReason, retry_after: timedelta | None = None
+        self, pending: _PendingClaim, reason: ClaimReason, retry_after: timedelta | None = None
     ) -> None:
         if not pending.fut.done():
             pending.fut.set_result(Err(ClaimRefused(reason, retry_after=retry_after)))
 
-    def _refuse_unsure(self, pendings: list[_Pending]) -> None:
-        for pending in pendings:
+    def _refuse_and_abandon(self, batch: list[_PendingClaim]) -> None:
+        """Refuse and abandon claims that may be on the log, except those already granted."""
+        for pending in batch:
             if pending.claim_id in self._active:
                 continue
             self._refuse(pending, ClaimReason.LOG_UNAVAILABLE, RETRY_AFTER_OUTAGE)
-            self._give_up(pending)
+            self._abandon_unrun(pending)
 
-    def _give_up(self, pending: _Pending) -> None:
-        """Abandon a claim that will not run but may stand on the log, now or later.
+    def _abandon_unrun(self, pending: _PendingClaim) -> None:
+        """Abandon a claim that will not run but is on the log or may still arrive there.
 
-        Left standing it would block its key until the window ends. The abandon holds in any order:
-        the fold never lets a claim stand that it has seen abandoned.
+        Otherwise it would block its key until the claim window ends. The order of the two records
+        does not matter: `ClaimFold` ignores a claim that was abandoned before it arrived.
         """
         self._active.pop(pending.claim_id, None)
-        self._abandon(pending.key, pending.claim_id)
+        self._queue_abandon(pending.key, pending.claim_id)
 
-    def _abandon(self, key: str, claim_id: str) -> None:
+    def _queue_abandon(self, key: str, claim_id: str) -> None:
         data = abandon_record(key, claim_id, self._incarnation)
         self._abandons[claim_id] = (self._new_id(), data)
-        _keep_newest(self._abandons)
-        self._wake()
+        _drop_oldest(self._abandons)
+        self._ensure_task()
 
-    def _tell_abandoned(self, claim_id: str) -> None:
-        waiter = self._abandon_waiters.pop(claim_id, None)
-        if waiter is not None and not waiter.done():
-            waiter.set_result(None)
+    def _confirm_abandoned(self, claim_id: str) -> None:
+        confirmation = self._abandon_confirmations.pop(claim_id, None)
+        if confirmation is not None and not confirmation.done():
+            confirmation.set_result(None)
 
-    def _take_pending(self) -> list[_Pending]:
-        taken = self._pending[:MAX_RECORDS_PER_APPEND]
+    def _pop_batch(self) -> list[_PendingClaim]:
+        claims = self._pending[:MAX_RECORDS_PER_APPEND]
         del self._pending[:MAX_RECORDS_PER_APPEND]
-        return [pending for pending in taken if not pending.fut.done()]
+        return [pending for pending in claims if not pending.fut.done()]
 
-    def _notes(self, limit: int) -> dict[str, Record]:
-        notes = {claim_id: record for claim_id, (record, _) in self._outcomes.items()}
-        notes.update(self._abandons)
-        return dict(itertools.islice(notes.items(), max(limit, 0)))
+    def _next_final_records(self, limit: int) -> dict[str, Record]:
+        final_records = {claim_id: record for claim_id, (record, _) in self._outcomes.items()}
+        final_records.update(self._abandons)
+        return dict(itertools.islice(final_records.items(), max(limit, 0)))
 
 
-def _keep_newest(records: dict[str, Any]) -> None:
-    while len(records) > MAX_UNSETTLED:
+def _drop_oldest(records: dict[str, Any]) -> None:
+    while len(records) > MAX_UNWRITTEN_RECORDS:
         del records[next(iter(records))]
--- a/cranberryline/execution/execution.py
+++ b/cranberryline/execution/execution.py
@@ -1,4 +1,4 @@
-"""Run one request at the upstream and say truthfully what became of it."""
+"""Run one request at the upstream and report whether it ran."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,15 +20,15 @@
 from .errors import FailReason, RunnerReason
 from .model import Held, Reply
 
-__all__ = ["Execution", "tell_not_run"]
+__all__ = ["Execution", "send_not_run"]
 
-# A refusal here means that this one upstream cannot take it; the entry has others to ask, so the
-# pause is only for a caller that finds all of them so.
+# A refusal concerns this upstream only, and the entry tries others first. The delay applies to a
+# caller whose request all upstreams refused.
 _RETRY_AFTER = timedelta(seconds=1)
 
 HEADER_REPLAYED = ("Idempotency-Replayed", "true")
 
-_NOT_SENT = {
+_NOT_RUN_BY_SEND_ERROR = {
     PlatformReason.REFUSED: RunnerReason.UPSTREAM_REFUSED,
     PlatformReason.START_OVER: RunnerReason.UPSTREAM_REPLACED,
 }
@@ -42,21 +42,21 @@
 }
 
 
-def tell_not_run(
+def send_not_run(
     request_id: int,
     reason: str,
     reply: Reply,
     metrics: Metrics,
     retry_after: timedelta = _RETRY_AFTER,
 ) -> None:
-    """Vouch to the entry that a request was not run."""
+    """Guarantee to the entry that a request was not run and never will be."""
     metrics.refuse(reason)
     reply(NotRun(request_id, reason, int(retry_after / timedelta(milliseconds=1))))
 
 
 @attrs.define
 class Execution:
-    """What it takes to run requests: the upstream, and the claims of those with a key."""
+    """Run requests at an upstream, with a claim for those that have an idempotency key."""
 
     clock: Clock
     metrics: Metrics
@@ -64,103 +64,108 @@
     claims: ClaimService
     may_start: Callable[[], bool] = lambda: True
 
-    async def async_run(self, held: Held) -> None:
-        """Run a request; every way out of here tells the entry one end."""
+    async def async_run(self, request: Held) -> None:
+        """Run a request; every path out of this method sends the entry a final message."""
         try:
-            if held.msg.key and not held.msg.idempotent:
-                await self._async_run_keyed(held)
+            if request.msg.key and not request.msg.idempotent:
+                await self._async_run_keyed(request)
                 return
-            await self._async_run_once(held, None)
+            await self._async_run_once(request, None)
         except asyncio.CancelledError:
-            self._tell_failed(held, FailReason.CANCELLED, "unknown")
+            self._send_failed(request, FailReason.CANCELLED, "unknown")
             raise
 
-    async def _async_run_keyed(self, held: Held) -> None:
-        msg = held.msg
+    async def _async_run_keyed(self, request: Held) -> None:
+        msg = request.msg
         digest = fingerprint(msg.method, msg.path, msg.body)
-        claimed = await self.claims.async_claim(msg.key, digest, self._budget(held))
+        claimed = await self.claims.async_claim(msg.key, digest, self._time_left(request))
         if isinstance(claimed, Err):
-            self._tell_claim_refused(held, claimed.unwrap_err())
+            self._send_claim_refused(request, claimed.unwrap_err())
             return
         grant = claimed.unwrap()
-        # Asked directly before the run: a process that was paused since the claim has lost the
-        # right to it, and its key has been told as unknown to others.
+        # Checked directly before the run: if the process was paused after the claim, the right to
+        # run may have expired, and others may have been told that the key's outcome is unknown.
         if not grant.may_start(self.clock.monotonic()):
             await self.claims.async_abandon(grant)
-            tell_not_run(msg.id, RunnerReason.DEADLINE.value, held.reply, self.metrics)
+            send_not_run(msg.id, RunnerReason.DEADLINE.value, request.reply, self.metrics)
             return
         try:
-            await self._async_run_once(held, grant)
+            await self._async_run_once(request, grant)
         finally:
             self.claims.leave_unknown(grant)
 
-    async def _async_run_once(self, held: Held, grant: Granted | None) -> None:
-        msg = held.msg
-        if held.may_go is not None and not held.may_go():
-            # Between its turn and here the loop may have been busy for any time.
-            tell_not_run(msg.id, RunnerReason.NO_LONGER_WANTED.value, held.reply, self.metrics)
+    async def _async_run_once(self, request: Held, grant: Granted | None) -> None:
+        msg = request.msg
+        if request.is_eligible is not None and not request.is_eligible():
+            # The event loop may have been busy for any time since the request left the queue.
+            send_not_run(msg.id, RunnerReason.NO_LONGER_WANTED.value, request.reply, self.metrics)
             return
         req = UpstreamRequest(msg.method, msg.path, msg.headers, msg.body)
-        sent = await self.upstream.async_send(req, self._budget(held))
+        sent = await self.upstream.async_send(req, self._time_left(request))
         if isinstance(sent, Err):
-            await self._async_tell_unsent(held, sent.unwrap_err(), grant)
+            await self._async_handle_send_error(request, sent.unwrap_err(), grant)
             return
         if grant is not None:
-            held.stream.keep_body()
-        outcome = await self._async_stream(held, sent.unwrap())
+            request.stream.record_body()
+        outcome = await self._async_forward(request, sent.unwrap())
         if grant is not None and outcome is not None:
             await self.claims.async_settle(grant, outcome)
 
-    async def _async_tell_unsent(
-        self, held: Held, error: PlatformError, grant: Granted | None
+    async def _async_handle_send_error(
+        self, request: Held, error: PlatformError, grant: Granted | None
     ) -> None:
         if not error.may_have_run:
             if grant is not None:
                 await self.claims.async_abandon(grant)
-            reason = _NOT_SENT.get(error.reason, RunnerReason.UPSTREAM_UNREACHABLE)
-            tell_not_run(held.msg.id, reason.value, held.reply, self.metrics)
+            reason = _NOT_RUN_BY_SEND_ERROR.get(error.reason, RunnerReason.UPSTREAM_UNREACHABLE)
+            send_not_run(request.msg.id, reason.value, request.reply, self.metrics)
             return
         timed_out = error.reason is PlatformReason.TIMEOUT
         reason = FailReason.UPSTREAM_TIMEOUT if timed_out else FailReason.UPSTREAM_ERROR
-        self._tell_failed(held, reason, "unknown")
+        self._send_failed(request, reason, "unknown")
 
-    async def _async_stream(self, held: Held, body: UpstreamBody) -> ClaimOutcome | None:
-        """Pass the answer on; return it if it was whole."""
+    async def _async_forward(self, request: Held, body: UpstreamBody) -> ClaimOutcome | None:
+        """Forward the response; return the outcome to record if the response was complete."""
         try:
-            async with asyncio.timeout(self._budget(held).total_seconds()):
-                await held.stream.async_send_all(body)
-            return recorded_outcome(body.head.status, body.head.headers, held.stream.kept)
+            async with asyncio.timeout(self._time_left(request).total_seconds()):
+                await request.stream.async_forward(body)
+            return recorded_outcome(
+                body.head.status, body.head.headers, request.stream.recorded_body
+            )
         except UpstreamCut:
-            self._tell_failed(held, FailReason.UPSTREAM_CUT, "yes")
+            self._send_failed(request, FailReason.UPSTREAM_CUT, "yes")
         except TimeoutError:
-            self._tell_failed(held, FailReason.UPSTREAM_TIMEOUT, "unknown")
+            self._send_failed(request, FailReason.UPSTREAM_TIMEOUT, "unknown")
         finally:
             await body.async_close()
         return None
 
-    def _tell_claim_refused(self, held: Held, refused: ClaimRefused) -> None:
+    def _send_claim_refused(self, request: Held, refused: ClaimRefused) -> None:
         if refused.reason is ClaimReason.RECORDED:
-            self._replay(held, refused.outcome)
+            self._replay(request, refused.outcome)
             return
         not_run = _NOT_RUN_BY_CLAIM.get(refused.reason)
         if not_run is not None:
             wait = refused.retry_after or _RETRY_AFTER
-            tell_not_run(held.msg.id, not_run.value, held.reply, self.metrics, wait)
+            send_not_run(request.msg.id, not_run.value, request.reply, self.metrics, wait)
             return
-        # This call did not run, but the one that holds the key may have: for the caller both are
-        # one request, so "not run" would be a false promise.
-        self._tell_failed(held, _FAILED_BY_CLAIM[refused.reason], "unknown")
+        # This call did not run, but the call that holds the key may have run. The caller regards
+        # both as one request, so "not run" would be wrong.
+        self._send_failed(request, _FAILED_BY_CLAIM[refused.reason], "unknown")
 
-    def _replay(self, held: Held, outcome: ClaimOutcome | None) -> None:
-        """Answer with what was recorded for the key."""
+    def _replay(self, request: Held, outcome: ClaimOutcome | None) -> None:
+        """Send the response that was recorded for the idempotency key."""
         if outcome is None or outcome.body is None:
-            self._tell_failed(held, FailReason.OUTCOME_NOT_KEPT, "yes")
+            self._send_failed(request, FailReason.OUTCOME_NOT_KEPT, "yes")
             return
-        held.stream.send_whole(outcome.status, (*outcome.headers, HEADER_REPLAYED), outcome.body)
+        request.stream.send_complete(
+            outcome.status, (*outcome.headers, HEADER_REPLAYED), outcome.body
+        )
 
-    def _tell_failed(self, held: Held, reason: FailReason, ran: str) -> None:
+    def _send_failed(self, request: Held, reason: FailReason, ran: str) -> None:
+        """Report a failure; `ran` tells whether the request ran: "yes" or "unknown"."""
         self.metrics.fail(reason.value)
-        held.reply(Failed(held.msg.id, reason.value, ran))
+        request.reply(Failed(request.msg.id, reason.value, ran))
 
-    def _budget(self, held: Held) -> timedelta:
-        return max(held.deadline - self.clock.monotonic(), timedelta())
+    def _time_left(self, request: Held) -> timedelta:
+        return max(request.deadline - self.clock.monotonic(), timedelta())
--- a/cranberryline/execution/model.py
+++ b/cranberryline/execution/model.py
@@ -1,4 +1,4 @@
-"""A request as a side process holds it."""
+"""The state of a request that a runner has accepted."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,33 +9,41 @@
 from cranberryline.requests import RequestKey
 from cranberryline.transport.model import Message, Submit
 
-from .stream import AnswerStream
+from .stream import ResponseStream
 
 __all__ = ["Held", "Reply"]
 
+# Sends a message about a request back to its sender.
 Reply = Callable[[Message], None]
 
 
 @attrs.define(eq=False)
 class Held:
-    """A request that waits or runs; `deadline` is on the monotonic clock."""
+    """A request that the runner has accepted and that is queued or running.
+
+    `deadline` is a reading of the monotonic clock. `is_eligible` is called directly before the
+    request is sent to the upstream; False prevents that. `timer` ends the wait in the queue.
+    """
 
     key: RequestKey
     msg: Submit
     reply: Reply
     deadline: timedelta
-    seq: int
-    stream: AnswerStream
-    may_go: Callable[[], bool] | None = None
+    sequence_number: int
+    stream: ResponseStream
+    is_eligible: Callable[[], bool] | None = None
     timer: asyncio.TimerHandle | None = None
     task: asyncio.Task[None] | None = None
 
     def __lt__(self, other: "Held") -> bool:
-        """Sort by class, then by arrival."""
-        return (self.msg.priority, self.seq) < (other.msg.priority, other.seq)
+        """Order by priority, then by arrival."""
+        return (self.msg.priority, self.sequence_number) < (
+            other.msg.priority,
+            other.sequence_number,
+        )
 
     def stop_timer(self) -> None:
-        """Cancel the timer of the wait."""
+        """Cancel the timer that ends the wait in the queue."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/cranberryline/execution/runner.py
+++ b/cranberryline/execution/runner.py
@@ -1,4 +1,4 @@
-"""Hold the upstream's requests: let them wait for a place, run, be withdrawn or stopped."""
+"""Queue and run the requests of one upstream with limited concurrency."""
 
 import asyncio
 import heapq
@@ -15,15 +15,18 @@
 from cranberryline.transport.model import Failed, Submit
 
 from .errors import FailReason, RunnerReason
-from .execution import Execution, tell_not_run
+from .execution import Execution, send_not_run
 from .model import Held, Reply
-from .stream import AnswerStream
+from .stream import ResponseStream
 
 __all__ = ["Runner"]
 
 
 class Runner:
-    """Hold this upstream's requests; nothing else reaches the upstream."""
+    """Queue, start, withdraw and cancel the requests of one upstream.
+
+    All requests to the upstream pass through one runner. `book` decides which of them may run.
+    """
 
     def __init__(
         self,
@@ -38,136 +41,156 @@
         self._clock = clock
         self._execution = execution
         self._metrics = metrics
-        self._seq = itertools.count()
+        self._sequence = itertools.count()
         self._queue: list[Held] = []
-        self._held: dict[RequestKey, Held] = {}
+        self._requests: dict[RequestKey, Held] = {}
 
     @property
     def queued_tokens(self) -> int:
-        """Count the tokens of the requests that are held."""
-        return sum(held.msg.tokens for held in self._held.values())
+        """Return the total tokens of the requests that are queued or running."""
+        return sum(request.msg.tokens for request in self._requests.values())
 
     def set_concurrency(self, concurrency: int) -> None:
-        """Change how many requests may run at once; what runs goes on."""
+        """Change how many requests may run at once; running requests continue."""
         self.concurrency = concurrency
-        self._start_next()
+        self._start_queued()
 
     def submit(
         self,
         key: RequestKey,
         msg: Submit,
         reply: Reply,
-        may_go: Callable[[], bool] | None = None,
+        is_eligible: Callable[[], bool] | None = None,
     ) -> None:
-        """Take a request, or vouch at once that it will not run; `may_go` is asked before it runs."""
+        """Queue a request and start it when concurrency allows, or send a refusal at once.
+
+        `is_eligible` is called directly before the request is sent to the upstream; if it returns
+        False, the request is refused instead.
+        """
         now = self._clock.monotonic()
         deadline = now + timedelta(milliseconds=msg.budget_ms)
-        taken = self.book.submit(key, msg.incarnation, deadline, msg.idempotent, now)
-        if isinstance(taken, Err):
-            tell_not_run(msg.id, taken.unwrap_err().value, reply, self._metrics)
+        accepted = self.book.submit(key, msg.incarnation, deadline, msg.idempotent, now)
+        if isinstance(accepted, Err):
+            send_not_run(msg.id, accepted.unwrap_err().value, reply, self._metrics)
             return
-        outcome = taken.unwrap()
+        outcome = accepted.unwrap()
         if outcome is SubmitOutcome.FORGOTTEN:
             reply(Failed(msg.id, FailReason.FORGOTTEN.value, "unknown"))
         if outcome is not SubmitOutcome.QUEUED:
             return
-        held = Held(key, msg, reply, deadline, next(self._seq), AnswerStream(msg.id, reply), may_go)
-        self._held[key] = held
-        heapq.heappush(self._queue, held)
-        self._start_next()
-        if held.task is None:
+        request = Held(
+            key,
+            msg,
+            reply,
+            deadline,
+            next(self._sequence),
+            ResponseStream(msg.id, reply),
+            is_eligible,
+        )
+        self._requests[key] = request
+        heapq.heappush(self._queue, request)
+        self._start_queued()
+        if request.task is None:
             loop = asyncio.get_running_loop()
-            held.timer = loop.call_later(msg.budget_ms / 1000, self._expire, key)
+            request.timer = loop.call_later(msg.budget_ms / 1000, self._expire, key)
 
     def withdraw(self, key: RequestKey) -> str:
-        """Take a request back if it has not been started; a late Submit of it is refused."""
+        """Remove a request that has not started; a Submit that arrives later is refused."""
         outcome = self.book.withdraw(key)
-        held = self._held.get(key)
-        if held is not None and held.task is None:
-            self._drop(key)
+        request = self._requests.get(key)
+        if request is not None and request.task is None:
+            self._remove(key)
         return outcome.value
 
     def cancel(self, key: RequestKey) -> None:
-        """Stop a request that waits, or that runs and may be stopped."""
+        """Remove a queued request, or stop a running one that is idempotent."""
         outcome = self.book.cancel(key)
         if outcome is CancelOutcome.DROPPED:
-            self._drop(key)
+            self._remove(key)
         elif outcome is CancelOutcome.STOP:
             self._stop(key)
 
     def grant(self, key: RequestKey, size: int) -> None:
-        """Allow more bytes of an answer."""
-        held = self._held.get(key)
-        if held is not None:
-            held.stream.grant(size)
+        """Allow `size` more bytes of a response to be sent."""
+        request = self._requests.get(key)
+        if request is not None:
+            request.stream.extend_window(size)
 
     def connection_lost(self, connection: str) -> None:
-        """Let go of what an entry that has gone was waiting for."""
+        """Handle the loss of the connection to an entry.
+
+        Drop its queued requests and stop its idempotent ones. The others run to their end, and
+        their responses are discarded.
+        """
         lost = self.book.lose(connection)
         for key in lost.dropped:
-            self._drop(key)
-        for key, held in self._held.items():
+            self._remove(key)
+        for key, request in self._requests.items():
             if key.connection == connection:
-                # Nobody grants more any more; a run that must end would wait for room for ever.
-                held.stream.discard()
+                # Nobody extends the window any more; a run that must finish would block forever.
+                request.stream.discard()
         for key in lost.cancel:
             self._stop(key)
 
     def drain(self) -> None:
-        """Refuse what has not been started, and everything that comes."""
+        """Refuse all queued and all future requests."""
         for key in self.book.drain():
-            held = self._held[key]
-            self._drop(key)
-            tell_not_run(held.msg.id, RunnerReason.DRAINING.value, held.reply, self._metrics)
+            request = self._requests[key]
+            self._remove(key)
+            send_not_run(request.msg.id, RunnerReason.DRAINING.value, request.reply, self._metrics)
 
     def end(self) -> None:
-        """Refuse what has not been started, and stop what runs: its upstream is no more.
+        """Refuse queued requests and stop running ones, because the upstream process is gone.
 
-        Other than `cancel`, this stops calls that are not idempotent too; nobody works on them, and
-        their entries are told that they may have run. Told here: a run that is stopped before its first
-        step would never say a word, and its caller would wait for the whole of its time.
+        Unlike `cancel`, this also stops requests that are not idempotent. Senders are informed here
+        that these may have run: a task that is cancelled before its first step sends nothing, and
+        its caller would wait until the deadline.
         """
         self.drain()
-        for held in list(self._held.values()):
+        for request in list(self._requests.values()):
             self._metrics.fail(FailReason.UPSTREAM_RESTARTED.value)
-            held.reply(Failed(held.msg.id, FailReason.UPSTREAM_RESTARTED.value, "unknown"))
-            self._stop(held.key)
+            request.reply(Failed(request.msg.id, FailReason.UPSTREAM_RESTARTED.value, "unknown"))
+            self._stop(request.key)
 
     async def async_wait_idle(self) -> None:
-        """Return when nothing runs any more."""
-        while tasks := [held.task for held in self._held.values() if held.task is not None]:
+        """Wait until no request is running."""
+        while tasks := [
+            request.task for request in self._requests.values() if request.task is not None
+        ]:
             await asyncio.wait(tasks)
 
     def _expire(self, key: RequestKey) -> None:
-        """Give a request that waited too long its final answer at once."""
-        held = self._held.get(key)
-        if held is not None and self.book.refuse(key):
-            self._drop(key)
-            tell_not_run(held.msg.id, RunnerReason.DEADLINE.value, held.reply, self._metrics)
+        """Refuse a queued request whose deadline has passed."""
+        request = self._requests.get(key)
+        if request is not None and self.book.refuse(key):
+            self._remove(key)
+            send_not_run(request.msg.id, RunnerReason.DEADLINE.value, request.reply, self._metrics)
 
-    def _drop(self, key: RequestKey) -> None:
-        held = self._held.pop(key, None)
-        if held is not None:
-            held.stop_timer()
+    def _remove(self, key: RequestKey) -> None:
+        request = self._requests.pop(key, None)
+        if request is not None:
+            request.stop_timer()
 
     def _stop(self, key: RequestKey) -> None:
-        held = self._held.get(key)
-        if held is not None and held.task is not None:
-            held.task.cancel()
+        request = self._requests.get(key)
+        if request is not None and request.task is not None:
+            request.task.cancel()
 
-    def _start_next(self) -> None:
+    def _start_queued(self) -> None:
         while self._queue and self.book.running < self.concurrency:
-            held = heapq.heappop(self._queue)
-            if self._held.get(held.key) is not held:
+            request = heapq.heappop(self._queue)
+            if self._requests.get(request.key) is not request:
                 continue
-            if not self.book.start(held.key, self._clock.monotonic()):
-                self._expire(held.key)
+            if not self.book.start(request.key, self._clock.monotonic()):
+                self._expire(request.key)
                 continue
-            held.stop_timer()
-            held.task = asyncio.get_running_loop().create_task(self._execution.async_run(held))
-            held.task.add_done_callback(lambda _, key=held.key: self._ended(key))
-
-    def _ended(self, key: RequestKey) -> None:
-        self._held.pop(key, None)
+            request.stop_timer()
+            request.task = asyncio.get_running_loop().create_task(
+                self._execution.async_run(request)
+            )
+            request.task.add_done_callback(lambda _, key=request.key: self._on_run_ended(key))
+
+    def _on_run_ended(self, key: RequestKey) -> None:
+        self._requests.pop(key, None)
         self.book.finish(key)
-        self._start_next()
+        self._start_queued()
--- a/cranberryline/execution/stream.py
+++ b/cranberryline/execution/stream.py
@@ -1,4 +1,4 @@
-"""Send an upstream's answer to an entry within the window that the entry grants."""
+"""Forward an upstream's response to the entry, subject to flow control by the entry."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,64 +7,64 @@
 from cranberryline.requests.const import MAX_RECORDED_BODY
 from cranberryline.transport.model import Chunk, End, Head, Message
 
-__all__ = ["INITIAL_WINDOW", "AnswerStream"]
+__all__ = ["INITIAL_WINDOW_BYTES", "ResponseStream"]
 
-# One slow caller must not make a side process hold whole answers in memory: past this many bytes
-# unread by the caller, reading from the upstream stops until the entry grants more.
-INITIAL_WINDOW = 256 * 1024
+# Limits the memory that a slow caller occupies in a side process: after this many bytes that the
+# caller has not read, reading from the upstream pauses until the entry extends the window.
+INITIAL_WINDOW_BYTES = 256 * 1024
 
 
-class AnswerStream:
-    """Number the parts of one answer and wait for room before each."""
+class ResponseStream:
+    """Send one response as numbered chunks while the flow control window is open."""
 
     def __init__(self, request_id: int, reply: Callable[[Message], None]) -> None:
         self._id = request_id
         self._reply = reply
-        self._window = INITIAL_WINDOW
-        self._room = asyncio.Event()
-        self._room.set()
+        self._window = INITIAL_WINDOW_BYTES
+        self._window_open = asyncio.Event()
+        self._window_open.set()
         self._discarding = False
-        self._seq = 0
-        self._keeping = False
-        self.kept = b""
+        self._next_chunk = 0
+        self._recording = False
+        self.recorded_body = b""
 
-    def keep_body(self) -> None:
-        """Keep the body as it passes, up to one byte more than a recorded outcome may have."""
-        self._keeping = True
+    def record_body(self) -> None:
+        """Store the body while it is forwarded, until it exceeds `MAX_RECORDED_BODY` bytes."""
+        self._recording = True
 
-    def grant(self, size: int) -> None:
-        """Add to the window."""
+    def extend_window(self, size: int) -> None:
+        """Allow `size` more bytes to be sent."""
         self._window += size
         if self._window > 0:
-            self._room.set()
+            self._window_open.set()
 
     def discard(self) -> None:
-        """Send nothing more: whoever waited has gone, but the run goes on to its end."""
+        """Send nothing more because the receiver is gone; the response is still read to its end."""
         self._discarding = True
-        self._room.set()
+        self._window_open.set()
 
-    async def async_send_all(self, body: UpstreamBody) -> None:
-        """Send head, body and end; raise UpstreamCut when the body ends before its own end."""
+    async def async_forward(self, body: UpstreamBody) -> None:
+        """Send head, body and end; raise UpstreamCut if the body ends early."""
         self._send(Head(self._id, body.head.status, body.head.headers))
         async for data in body.chunks():
-            await self._room.wait()
-            if self._keeping and len(self.kept) <= MAX_RECORDED_BODY:
-                self.kept += data
-            self._send(Chunk(self._id, self._seq, data))
-            self._seq += 1
-            self._take_room(len(data))
-        self._send(End(self._id, self._seq))
+            await self._window_open.wait()
+            if self._recording and len(self.recorded_body) <= MAX_RECORDED_BODY:
+                self.recorded_body += data
+            self._send(Chunk(self._id, self._next_chunk, data))
+            self._next_chunk += 1
+            self._consume_window(len(data))
+        self._send(End(self._id, self._next_chunk))
 
-    def send_whole(self, status: int, headers: tuple[tuple[str, str], ...], body: bytes) -> None:
-        """Send an answer that is at hand."""
+    def send_complete(self, status: int, headers: tuple[tuple[str, str], ...], body: bytes) -> None:
+        """Send a response whose body is already complete, in one chunk."""
         self._send(Head(self._id, status, headers))
         self._send(Chunk(self._id, 0, body))
         self._send(End(self._id, 1))
 
-    def _take_room(self, size: int) -> None:
+    def _consume_window(self, size: int) -> None:
         self._window -= size
         if self._window <= 0 and not self._discarding:
-            self._room.clear()
+            self._window_open.clear()
 
     def _send(self, msg: Message) -> None:
         if not self._discarding:
--- a/cranberryline/leases/__init__.py
+++ b/cranberryline/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases: one node at a time may act, with a fencing token that grows with each holder."""
+"""Leases: at most one node may act at a time; each new holder gets a higher fencing token."""
 
 from .keeper import LeaseKeeper
 from .model import Holding, LeaseBook, LeaseRecord
--- a/cranberryline/leases/const.py
+++ b/cranberryline/leases/const.py
@@ -3,11 +3,11 @@
 from datetime import timedelta
 
 TOPIC_LEASES = "leases"
-# A third of the shortest lease that deployments give: two renewals may be lost in a row.
+# A third of the shortest lease that deployments configure, so two renewals in a row may be lost.
 RENEW_INTERVAL = timedelta(milliseconds=800)
 APPEND_TIMEOUT = timedelta(milliseconds=900)
-# Time between a holder's last check and the arrival of what it then sends.
-HOLDER_MARGIN = timedelta(milliseconds=500)
-# Others wait this much longer than the lease after the holder's last sign was seen here.
-TAKER_MARGIN = timedelta(milliseconds=300)
-LOOK_INTERVAL = timedelta(milliseconds=200)
+# Allows for the time between the holder's last check of its lease and the arrival of its message.
+HOLDER_SAFETY_MARGIN = timedelta(milliseconds=500)
+# Other nodes wait for this long in addition to the lease after they read the holder's last record.
+TAKEOVER_MARGIN = timedelta(milliseconds=300)
+ACQUIRE_POLL_INTERVAL = timedelta(milliseconds=200)
--- a/cranberryline/leases/model.py
+++ b/cranberryline/leases/model.py
@@ -1,4 +1,4 @@
-"""The fold of lease records: who holds the lease, under which token, since when it was seen."""
+"""Derive the holder of the lease and its fencing token from the records in the store."""
 
 from datetime import timedelta
 
@@ -9,7 +9,7 @@
 
 
 class LeaseRecord(msgspec.Struct, array_like=True, frozen=True):
-    """A holder's sign of life; `token` is 0 in the record that acquires."""
+    """A heartbeat of the holder; `token` is 0 in a record that acquires the lease."""
 
     holder: str
     token: int = 0
@@ -17,9 +17,9 @@
 
 @attrs.frozen
 class Holding:
-    """The standing lease: its token is one above the offset of the record that acquired it.
+    """The current lease; its token is one above the offset of the record that acquired it.
 
-    `seen_at` is when its last sign was read here, by `Clock.elapsed`.
+    `seen_at` is when its last record was read by this process, as a reading of `Clock.elapsed`.
     """
 
     holder: str
@@ -28,31 +28,31 @@
 
 
 class LeaseBook:
-    """Fold the lease's partition.
+    """Apply the records of the lease's partition in order.
 
     Each record was appended on the condition that the partition ended just before it, so its author
-    knew all earlier ones: whoever stands last holds, and offsets give each holder a token above all
-    before it.
+    had read all earlier ones. The author of the last record is the holder, and since tokens derive
+    from offsets, each holder's token is higher than all earlier ones.
     """
 
     def __init__(self) -> None:
         self.holding: Holding | None = None
 
     def apply(self, offset: int, record: LeaseRecord, now: timedelta) -> bool:
-        """Take the next record; return False for one that no holder wrote, which changes nothing."""
-        if not record.holder or not self._sound(offset, record):
+        """Apply the next record; return False for an invalid one, which changes nothing."""
+        if not record.holder or not self._is_valid(offset, record):
             return False
         token = record.token or offset + 1
         self.holding = Holding(record.holder, token, now)
         return True
 
-    def _sound(self, offset: int, record: LeaseRecord) -> bool:
-        """Tell whether a holder can have written the record where it stands.
+    def _is_valid(self, offset: int, record: LeaseRecord) -> bool:
+        """Return whether a holder can have written the record at this offset.
 
-        A renewal bears the token of an acquisition that stands before it. One with a token above that
-        would be carried into orders, and engines would refuse every later holder's for good. A renewal of
-        a holder whose acquisition was not read, because it was deleted before, is taken: passed over, its
-        lease would seem to lapse while it is held.
+        A renewal carries the token of an acquisition at a lower offset. A higher token would be
+        used in orders, and engines would then refuse the orders of every later holder. A renewal
+        whose acquisition was deleted before this process read it is valid: if it were ignored, the
+        lease would seem to expire while it is held.
         """
         if record.token == 0:
             return True
--- a/cranberryline/routes/__init__.py
+++ b/cranberryline/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Routes: which requests belong to which service, and under which bounds."""
+"""Routes: which service handles a request, and with which limits."""
 
 from .book import RouteBook
 from .model import EngineService, Limits, Route, RouteKind, RouteTable, ServiceShare
--- a/cranberryline/routes/book.py
+++ b/cranberryline/routes/book.py
@@ -1,4 +1,4 @@
-"""The route table in force, and what the lanes ask of services."""
+"""The active route table, and the service settings that follow from it."""
 
 from collections.abc import Callable
 
@@ -10,15 +10,16 @@
 
 __all__ = ["RouteBook"]
 
+# Applies until the route table or an upstream states how many requests an upstream runs at once.
 _DEFAULT_CONCURRENCY = 8
-_QUEUE_SECONDS = 5.0
+_MAX_QUEUE_SECONDS = 5.0
 
 
 class RouteBook:
-    """Hold the newest route table; an older one never takes its place.
+    """Hold the newest route table that has been read.
 
-    It answers what `dispatch.ServiceBook` asks of a configuration, so that the lanes work on
-    either.
+    It has the methods by which request dispatch reads the service settings of a configuration, so
+    that dispatch works with either.
     """
 
     def __init__(self) -> None:
@@ -29,14 +30,14 @@
         self._shares: dict[str, float] = {}
 
     def listen(self, listener: Callable[[RouteTable], None]) -> None:
-        """Call back after each newer table."""
+        """Register a callback that is called after each newer table."""
         self._listeners.append(listener)
 
     def apply(self, table: RouteTable) -> bool:
-        """Take a newer table; return False for one that is not.
+        """Activate a newer table; return False if the table is not newer than the active one.
 
-        A read that was answered late may bring an older version than one already in force; callers
-        would then be sent by routes that the operator has withdrawn.
+        A delayed read can return an older version than the active one. Activating it would route
+        requests by routes that the operator has removed.
         """
         if self.table is not None and table.version <= self.table.version:
             return False
@@ -47,7 +48,10 @@
         return True
 
     def set_slots(self, service: str, slots: int) -> bool:
-        """Take how many requests one upstream of a service works on at once; True if that is new."""
+        """Set how many requests one upstream of a service runs at once; return whether it changed.
+
+        Values of 0 and less are ignored.
+        """
         if slots <= 0 or self._slots.get(service) == slots:
             return False
         self._slots[service] = slots
@@ -55,27 +59,27 @@
         return True
 
     def knows(self, service: str) -> bool:
-        """Tell whether any table named the service or an upstream serves it."""
+        """Return whether the active table lists the service or `set_slots` was called for it."""
         return service in self._slots or (self.table is not None and service in self.table.services)
 
     def spec(self, service: str) -> ServiceSpec:
-        """Return a service as the lanes see it."""
+        """Return the settings of a service for request dispatch."""
         found = self._specs.get(service)
         if found is None:
-            found = self._specs[service] = self._make(service)
+            found = self._specs[service] = self._make_spec(service)
         return found
 
     def caller(self, name: str) -> CallerSpec | None:
-        """Return nothing: this configuration says nothing of callers."""
+        """Return None, because route tables contain no settings of callers."""
         return None
 
     def shares(self) -> dict[str, float]:
-        """Return no shares, for the same reason."""
+        """Return no caller shares, because route tables contain no settings of callers."""
         return self._shares
 
-    def _make(self, service: str) -> ServiceSpec:
+    def _make_spec(self, service: str) -> ServiceSpec:
         engine = None if self.table is None else self.table.services.get(service)
-        kind = ServiceType.PLAIN if engine is None else ServiceType.ENGINE
+        service_type = ServiceType.PLAIN if engine is None else ServiceType.ENGINE
         slots = self._slots.get(service) or (0 if engine is None else engine.slots)
-        spec = ServiceSpec(type=kind, queue_seconds=_QUEUE_SECONDS)
+        spec = ServiceSpec(type=service_type, queue_seconds=_MAX_QUEUE_SECONDS)
         return attrs.evolve(spec, concurrency=slots or _DEFAULT_CONCURRENCY)
--- a/cranberryline/routes/model.py
+++ b/cranberryline/routes/model.py
@@ -1,4 +1,4 @@
-"""Routes as the operator publishes them: one whole table with a version."""
+"""The versioned route table that the operator publishes."""
 
 import enum
 from collections.abc import Mapping
@@ -11,17 +11,17 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What may be done with a route's requests."""
+    """How the requests of a route are handled."""
 
-    IDEMPOTENT = "idempotent"
-    ONCE = "once"
-    STREAM = "stream"
-    JOB = "job"
+    IDEMPOTENT = "idempotent"  # may be repeated and hedged
+    ONCE = "once"  # never sent again once it may have run
+    STREAM = "stream"  # the response is a stream of events
+    JOB = "job"  # accepted now and run in the background; may be repeated
 
 
 @attrs.frozen
 class ServiceShare:
-    """A service and its weight among those that share a route."""
+    """A service of a route and its weight in the random choice among them."""
 
     service: str
     weight: int = 1
@@ -29,7 +29,13 @@
 
 @attrs.frozen
 class Route:
-    """Requests of one host under one path prefix, and how they are to be served."""
+    """The requests of one host under one path prefix, and how they are handled.
+
+    `goal` is the latency goal, from which the hedge delay follows. `resumable` allows an
+    interrupted stream to be continued at another upstream. `single_version` requires that one model
+    version generates all of a text. Items of a job that was submitted more than `max_wait` ago
+    expire.
+    """
 
     name: str
     host: str
@@ -46,11 +52,11 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request that may have run may be sent again."""
+        """Return whether a request that may have run may be sent again."""
         return self.kind in (RouteKind.IDEMPOTENT, RouteKind.JOB)
 
     def choose_service(self, rng: Random) -> str:
-        """Draw one of the route's services by weight."""
+        """Choose one of the route's services at random, by weight."""
         if len(self.services) == 1:
             return self.services[0].service
         weights = [share.weight for share in self.services]
@@ -59,7 +65,10 @@
 
 @attrs.frozen
 class EngineService:
-    """What is known of a service's engines, besides that they are engines."""
+    """Settings of a service whose upstreams are model engines.
+
+    `slots` is how many requests one engine runs at once, or 0 if unknown.
+    """
 
     slots: int = 0
     models: tuple[str, ...] = ()
@@ -67,7 +76,7 @@
 
 @attrs.frozen
 class Limits:
-    """What a caller may send, and how long it may take or rest."""
+    """Limits on what a caller may send, and on how slowly."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 32 * 1024 * 1024
@@ -77,7 +86,11 @@
 
 @attrs.frozen
 class RouteTable:
-    """All routes of one version, the services behind them, and the limits."""
+    """The routes of one version, their services, and the limits for callers.
+
+    `services` maps a service to its engine settings, or to None if its upstreams are plain HTTP
+    services.
+    """
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -85,13 +98,13 @@
     limits: Limits = Limits()
 
     def names(self, service: str) -> bool:
-        """Tell whether the configuration names a service."""
+        """Return whether the table lists a service or a route uses it."""
         if service in self.services:
             return True
         return any(share.service == service for route in self.routes for share in route.services)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of the host with the longest prefix that begins the path."""
+        """Return the route of the host with the longest prefix of the path."""
         found: Route | None = None
         for route in self.routes:
             if route.host != host or not path.startswith(route.prefix):
--- a/tests/execution/conftest.py
+++ b/tests/execution/conftest.py
@@ -1,4 +1,4 @@
-"""Fakes at the edge of a side process: an upstream that answers as told, and a claim service."""
+"""Fakes of the upstream and of the claim service for tests of the runner."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -25,18 +25,18 @@
 from cranberryline.requests.model import ClaimOutcome
 from cranberryline.transport.model import Message, Submit
 
-LIFE = "life-1"
+INCARNATION = "life-1"
 CONNECTION = "entry-1-0"
 
 
 class FakeBody(UpstreamBody):
-    """An answer in parts; it can end before its own end, or wait."""
+    """A response body in parts; it can end early, or wait for `gate` before each part."""
 
     def __init__(self, parts: list[bytes], cut: bool, gate: asyncio.Event) -> None:
         self._parts = parts
         self._cut = cut
         self._gate = gate
-        self.taken = 0
+        self.parts_read = 0
         self.closed = False
 
     @property
@@ -46,7 +46,7 @@
     async def chunks(self) -> AsyncIterator[bytes]:
         for part in self._parts:
             await self._gate.wait()
-            self.taken += 1
+            self.parts_read += 1
             yield part
         if self._cut:
             raise UpstreamCut("ended early")
@@ -56,7 +56,10 @@
 
 
 class FakeUpstream(PlainServicePort):
-    """Count the runs, and answer each as told."""
+    """Record the requests and answer each with `parts`, cut off early, or with `error`.
+
+    Response parts are sent only while `gate` is set.
+    """
 
     def __init__(self) -> None:
         self.runs: list[UpstreamRequest] = []
@@ -79,12 +82,12 @@
 
 
 class FakeClaims:
-    """Grant every claim, or refuse as told; note what becomes of those granted."""
+    """Grant every claim, or refuse with `refused`; record how each granted claim ends."""
 
     def __init__(self) -> None:
         self.refused: ClaimRefused | None = None
         self.start_before = timedelta.max
-        self.ends: list[str] = []
+        self.results: list[str] = []
 
     async def async_claim(
         self, key: str, digest: str, budget: timedelta
@@ -94,24 +97,24 @@
         return Ok(Granted(key, "claim-1", self.start_before))
 
     async def async_settle(self, claim: Granted, outcome: ClaimOutcome) -> None:
-        self.ends.append(f"settled {outcome.status}")
+        self.results.append(f"settled {outcome.status}")
 
     async def async_abandon(self, claim: Granted) -> None:
-        self.ends.append("abandoned")
+        self.results.append("abandoned")
 
     def leave_unknown(self, claim: Granted) -> None:
-        self.ends.append("left")
+        self.results.append("left")
 
 
-class Desk:
-    """A runner with its fakes, and what it replied."""
+class RunnerHarness:
+    """A runner with fakes, and the messages that it sent."""
 
     def __init__(self) -> None:
         self.upstream = FakeUpstream()
         self.claims = FakeClaims()
         self.metrics = Metrics()
         clock = SystemClock()
-        book = SideBook(LIFE)
+        book = SideBook(INCARNATION)
         book.open(CONNECTION)
         execution = Execution(clock, self.metrics, self.upstream, self.claims)  # type: ignore[arg-type]
         self.runner = Runner(clock, execution, self.metrics, book, concurrency=1)
@@ -120,11 +123,11 @@
     def key(self, request_id: int) -> RequestKey:
         return RequestKey(CONNECTION, request_id)
 
-    def submit(self, request_id: int, **change: Any) -> None:
-        """Hand over a request."""
+    def submit(self, request_id: int, **changes: Any) -> None:
+        """Submit a request, with changes to the default fields."""
         fields = {
             "id": request_id,
-            "incarnation": LIFE,
+            "incarnation": INCARNATION,
             "service": "dossiers",
             "method": "POST",
             "path": "/",
@@ -135,27 +138,27 @@
             "idempotent": False,
             "key": "",
             "tokens": 0,
-            **change,
+            **changes,
         }
         self.runner.submit(self.key(request_id), Submit(**fields), self.replies.append)
 
-    def about(self, request_id: int) -> list[Message]:
-        """Return the replies about one request."""
+    def replies_to(self, request_id: int) -> list[Message]:
+        """Return the messages about one request."""
         return [msg for msg in self.replies if getattr(msg, "id", None) == request_id]
 
     async def async_idle(self) -> None:
-        """Wait until nothing runs."""
+        """Wait until no request is running and its messages are sent."""
         await self.runner.async_wait_idle()
         await asyncio.sleep(0)
 
 
 @pytest.fixture
 def unreachable() -> PlatformError:
-    """Return the error of a connection that was never made."""
+    """Return the error of a connection that could not be opened."""
     return PlatformError(PlatformReason.UNREACHABLE, may_have_run=False)
 
 
 @pytest.fixture
 def refused_claims() -> dict[ClaimReason, ClaimRefused]:
-    """Return a refusal for each reason."""
+    """Return a refused claim for each reason."""
     return {reason: ClaimRefused(reason) for reason in ClaimReason}
--- a/tests/execution/test_runner.py
+++ b/tests/execution/test_runner.py
@@ -1,57 +1,57 @@
-"""A side process's runner over fakes: what runs, and what the entry is truthfully told."""
+"""Tests of the runner with fakes: which requests run, and what the entry is told about them."""
 
 import asyncio
 
 import pytest
 
-from cranberryline.execution.stream import INITIAL_WINDOW
+from cranberryline.execution.stream import INITIAL_WINDOW_BYTES
 from cranberryline.ports.errors import PlatformError, PlatformReason
 from cranberryline.requests.errors import ClaimReason, ClaimRefused
 from cranberryline.requests.model import ClaimOutcome
 from cranberryline.transport.model import Chunk, End, Failed, Head, NotRun
 
-from .conftest import CONNECTION, Desk
+from .conftest import CONNECTION, RunnerHarness
 
 
-def test_an_answer_is_passed_on_whole() -> None:
-    """Head, numbered chunks, and an end that counts them."""
+def test_response_chunk_is_lost_or_miscounted() -> None:
+    """A response is forwarded as head, numbered chunks, and an end with the number of chunks."""
 
     async def async_case() -> None:
-        desk = Desk()
-        desk.upstream.parts = [b"a", b"b"]
-        desk.submit(1)
-        await desk.async_idle()
-        kinds = [type(msg) for msg in desk.about(1)]
+        harness = RunnerHarness()
+        harness.upstream.parts = [b"a", b"b"]
+        harness.submit(1)
+        await harness.async_idle()
+        kinds = [type(msg) for msg in harness.replies_to(1)]
         assert kinds == [Head, Chunk, Chunk, End]
-        assert desk.about(1)[-1] == End(1, 2)
+        assert harness.replies_to(1)[-1] == End(1, 2)
 
     asyncio.run(async_case())
 
 
-def test_a_cut_body_is_a_failure_that_ran() -> None:
-    """The upstream ends its answer early: no End is sent, and `ran` is yes."""
+def test_truncated_body_is_reported_as_complete() -> None:
+    """The upstream endings its response early: no End is sent, and `ran` is "yes"."""
 
     async def async_case() -> None:
-        desk = Desk()
-        desk.upstream.cut = True
-        desk.submit(1)
-        await desk.async_idle()
-        assert desk.about(1)[-1] == Failed(1, "upstream_cut", "yes")
-        assert desk.upstream.bodies[0].closed
+        harness = RunnerHarness()
+        harness.upstream.cut = True
+        harness.submit(1)
+        await harness.async_idle()
+        assert harness.replies_to(1)[-1] == Failed(1, "upstream_cut", "yes")
+        assert harness.upstream.bodies[0].closed
 
     asyncio.run(async_case())
 
 
 @pytest.mark.parametrize("may_have_run", [True, False])
-def test_only_what_was_never_sent_is_not_run(may_have_run: bool) -> None:
-    """A connection that was never made is `not run`; anything else may have run."""
+def test_request_that_may_have_run_is_reported_as_not_run(may_have_run: bool) -> None:
+    """Only a request that was never sent is reported as not run; any other may have run."""
 
     async def async_case() -> None:
-        desk = Desk()
-        desk.upstream.error = PlatformError(PlatformReason.CUT, may_have_run=may_have_run)
-        desk.submit(1)
-        await desk.async_idle()
-        (reply,) = desk.about(1)
+        harness = RunnerHarness()
+        harness.upstream.error = PlatformError(PlatformReason.CUT, may_have_run=may_have_run)
+        harness.submit(1)
+        await harness.async_idle()
+        (reply,) = harness.replies_to(1)
         if may_have_run:
             assert reply == Failed(1, "upstream_error", "unknown")
         else:
@@ -60,107 +60,112 @@
     asyncio.run(async_case())
 
 
-def test_waiting_requests_are_withdrawn_expired_and_drained_without_a_run() -> None:
-    """Whatever ends a wait, the upstream has seen nothing of the request, and never will."""
+def test_withdrawn_expired_or_drained_request_is_still_sent() -> None:
+    """A queued request that is withdrawn, expires or is drained never reaches the upstream."""
 
     async def async_case() -> None:
-        desk = Desk()
-        desk.upstream.gate.clear()
-        desk.submit(1)
-        desk.submit(2)
-        desk.submit(3, budget_ms=20)
-        desk.submit(4)
-        assert desk.runner.withdraw(desk.key(2)) == "not_run"
-        assert desk.runner.withdraw(desk.key(9)) == "not_run"
+        harness = RunnerHarness()
+        harness.upstream.gate.clear()
+        harness.submit(1)
+        harness.submit(2)
+        harness.submit(3, budget_ms=20)
+        harness.submit(4)
+        assert harness.runner.withdraw(harness.key(2)) == "not_run"
+        assert harness.runner.withdraw(harness.key(9)) == "not_run"
         await asyncio.sleep(0.05)
-        assert [type(msg) for msg in desk.about(3)] == [NotRun]
-        assert desk.runner.withdraw(desk.key(1)) == "started"
-        desk.runner.drain()
-        assert [type(msg) for msg in desk.about(4)] == [NotRun]
-        desk.submit(5)
-        desk.submit(9)
-        assert [type(msg) for msg in desk.about(5)] == [NotRun]
-        assert [type(msg) for msg in desk.about(9)] == [NotRun]
-        desk.upstream.gate.set()
-        await desk.async_idle()
-        assert len(desk.upstream.runs) == 1
-        assert isinstance(desk.about(1)[-1], End)
+        assert [type(msg) for msg in harness.replies_to(3)] == [NotRun]
+        assert harness.runner.withdraw(harness.key(1)) == "started"
+        harness.runner.drain()
+        assert [type(msg) for msg in harness.replies_to(4)] == [NotRun]
+        harness.submit(5)
+        harness.submit(9)
+        assert [type(msg) for msg in harness.replies_to(5)] == [NotRun]
+        assert [type(msg) for msg in harness.replies_to(9)] == [NotRun]
+        harness.upstream.gate.set()
+        await harness.async_idle()
+        assert len(harness.upstream.runs) == 1
+        assert isinstance(harness.replies_to(1)[-1], End)
 
     asyncio.run(async_case())
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_a_lost_entry_stops_only_what_may_be_repeated(idempotent: bool) -> None:
-    """A non-idempotent run goes on to its end, also past the window that nobody widens.
+def test_lost_entry_stops_or_blocks_a_request_that_is_not_idempotent(idempotent: bool) -> None:
+    """The entry terminates in the middle of a long response.
 
-    The entry dies in the middle of a long answer. Stopping a creation half way would leave its
-    effect unknown to everyone; waiting for room would hold its place for ever.
+    A request that is not idempotent runs to its end, also beyond the flow control window that
+    nobody extends any more. Stopping it half way would leave its effect unknown; waiting for the
+    window would occupy a slot of the upstream forever.
     """
 
     async def async_case() -> None:
-        desk = Desk()
-        desk.upstream.parts = [b"x" * INITIAL_WINDOW] * 4
-        desk.submit(1, idempotent=idempotent)
+        harness = RunnerHarness()
+        harness.upstream.parts = [b"x" * INITIAL_WINDOW_BYTES] * 4
+        harness.submit(1, idempotent=idempotent)
         await asyncio.sleep(0.01)
-        desk.runner.connection_lost(CONNECTION)
-        await desk.async_idle()
-        assert desk.upstream.bodies[0].taken == (4 if not idempotent else 2)
+        harness.runner.connection_lost(CONNECTION)
+        await harness.async_idle()
+        assert harness.upstream.bodies[0].parts_read == (4 if not idempotent else 2)
 
     asyncio.run(async_case())
 
 
-def test_a_slow_reader_holds_the_upstream_back() -> None:
-    """No more than a window is read ahead of the caller; a grant lets the rest through."""
+def test_response_is_buffered_without_limit_for_a_slow_caller() -> None:
+    """At most one window is read ahead of the caller; the rest follows when it is extended."""
 
     async def async_case() -> None:
-        desk = Desk()
-        desk.upstream.parts = [b"x" * INITIAL_WINDOW] * 3
-        desk.submit(1)
+        harness = RunnerHarness()
+        harness.upstream.parts = [b"x" * INITIAL_WINDOW_BYTES] * 3
+        harness.submit(1)
         await asyncio.sleep(0.01)
-        sent = [msg for msg in desk.about(1) if isinstance(msg, Chunk)]
+        sent = [msg for msg in harness.replies_to(1) if isinstance(msg, Chunk)]
         assert len(sent) == 1
         for _ in range(3):
-            desk.runner.grant(desk.key(1), INITIAL_WINDOW)
+            harness.runner.grant(harness.key(1), INITIAL_WINDOW_BYTES)
             await asyncio.sleep(0)
-        await desk.async_idle()
-        assert desk.about(1)[-1] == End(1, 3)
+        await harness.async_idle()
+        assert harness.replies_to(1)[-1] == End(1, 3)
 
     asyncio.run(async_case())
 
 
-def test_a_stuck_upstream_ends_with_the_deadline() -> None:
-    """An answer that stops in its middle is told as unknown when the time is over."""
+def test_stalled_response_outlasts_the_deadline() -> None:
+    """A response that stalls is reported with outcome unknown when the deadline passes."""
 
     async def async_case() -> None:
-        desk = Desk()
-        desk.upstream.gate.clear()
-        desk.submit(1, budget_ms=50)
-        await desk.async_idle()
-        assert desk.about(1)[-1] == Failed(1, "upstream_timeout", "unknown")
+        harness = RunnerHarness()
+        harness.upstream.gate.clear()
+        harness.submit(1, budget_ms=50)
+        await harness.async_idle()
+        assert harness.replies_to(1)[-1] == Failed(1, "upstream_timeout", "unknown")
 
     asyncio.run(async_case())
 
 
-def test_a_keyed_run_claims_first_and_records_its_outcome() -> None:
-    """The claim is settled with the answer's status."""
+def test_outcome_of_a_request_with_a_key_is_not_recorded() -> None:
+    """The claim is settled with the status of the response."""
 
     async def async_case() -> None:
-        desk = Desk()
-        desk.submit(1, key="k")
-        await desk.async_idle()
-        assert desk.claims.ends[0] == "settled 200"
-        assert len(desk.upstream.runs) == 1
+        harness = RunnerHarness()
+        harness.submit(1, key="k")
+        await harness.async_idle()
+        assert harness.claims.results[0] == "settled 200"
+        assert len(harness.upstream.runs) == 1
 
     asyncio.run(async_case())
 
 
-def test_a_refused_claim_never_runs_and_says_no_more_than_is_known(
+def test_request_with_a_refused_claim_runs_or_is_misreported(
     refused_claims: dict[ClaimReason, ClaimRefused],
 ) -> None:
-    """`not run` only where no earlier call with the key can have run; a record is replayed."""
+    """A request whose claim is refused does not run, and its report claims no more than is known.
+
+    It is reported as not run only if no earlier call with the key can have run. A recorded response
+    is replayed.
+    """
 
     async def async_case() -> None:
-        desk = Desk()
+        harness = RunnerHarness()
         expected = {
             ClaimReason.LOG_UNAVAILABLE: NotRun,
             ClaimReason.KEY_REUSED_WITH_OTHER_BODY: NotRun,
@@ -169,36 +174,39 @@
             ClaimReason.RECORDED: Failed,
         }
         for number, (reason, kind) in enumerate(expected.items()):
-            desk.claims.refused = refused_claims[reason]
-            desk.submit(number, key="k")
-            await desk.async_idle()
-            (reply,) = desk.about(number)
+            harness.claims.refused = refused_claims[reason]
+            harness.submit(number, key="k")
+            await harness.async_idle()
+            (reply,) = harness.replies_to(number)
             assert isinstance(reply, kind)
-        desk.claims.refused = ClaimRefused(ClaimReason.RECORDED, ClaimOutcome(201, (), b"kept"))
-        desk.submit(9, key="k")
-        await desk.async_idle()
-        assert desk.about(9)[0] == Head(9, 201, (("Idempotency-Replayed", "true"),))
-        assert desk.about(9)[1:] == [Chunk(9, 0, b"kept"), End(9, 1)]
-        assert desk.upstream.runs == []
+        harness.claims.refused = ClaimRefused(ClaimReason.RECORDED, ClaimOutcome(201, (), b"kept"))
+        harness.submit(9, key="k")
+        await harness.async_idle()
+        assert harness.replies_to(9)[0] == Head(9, 201, (("Idempotency-Replayed", "true"),))
+        assert harness.replies_to(9)[1:] == [Chunk(9, 0, b"kept"), End(9, 1)]
+        assert harness.upstream.runs == []
 
     asyncio.run(async_case())
 
 
-def test_a_claim_that_outlived_its_right_is_given_up(unreachable: PlatformError) -> None:
-    """A process paused past its claim does not run, and a run that was never sent frees its key."""
+def test_request_runs_on_an_expired_claim_or_keeps_its_key(unreachable: PlatformError) -> None:
+    """A process that was paused beyond the right to run does not run the request.
+
+    A request that could not be sent releases its key.
+    """
 
     async def async_case() -> None:
-        desk = Desk()
-        desk.claims.start_before = desk.runner._clock.monotonic()
-        desk.submit(1, key="k")
-        await desk.async_idle()
-        assert [type(msg) for msg in desk.about(1)] == [NotRun]
-        desk = Desk()
-        desk.upstream.error = unreachable
-        desk.submit(1, key="k")
-        await desk.async_idle()
-        assert [type(msg) for msg in desk.about(1)] == [NotRun]
-        assert desk.claims.ends[0] == "abandoned"
-        assert desk.upstream.runs == []
+        harness = RunnerHarness()
+        harness.claims.start_before = harness.runner._clock.monotonic()
+        harness.submit(1, key="k")
+        await harness.async_idle()
+        assert [type(msg) for msg in harness.replies_to(1)] == [NotRun]
+        harness = RunnerHarness()
+        harness.upstream.error = unreachable
+        harness.submit(1, key="k")
+        await harness.async_idle()
+        assert [type(msg) for msg in harness.replies_to(1)] == [NotRun]
+        assert harness.claims.results[0] == "abandoned"
+        assert harness.upstream.runs == []
 
     asyncio.run(async_case())
--- a/tests/leases/lease_world.py
+++ b/tests/leases/lease_simulation.py
@@ -1,4 +1,7 @@
-"""Holders over one log in virtual time: appends lost, late and doubled, reads late, nodes paused."""
+"""A simulation of nodes that share a log, in virtual time.
+
+Appends can be lost, delayed or duplicated, reads can be delayed, and nodes can be paused.
+"""
 
 import asyncio
 import enum
@@ -15,30 +18,30 @@
 from tests.store_fake import FakeStore, StoreLink
 from tests.virtual_time import START, VirtualLoop
 
-LEASE = timedelta(seconds=3)
-NO_ANSWER = StoreError(StoreProblem.UNKNOWN, "no answer")
+LEASE_DURATION = timedelta(seconds=3)
+NO_RESPONSE = StoreError(StoreProblem.UNKNOWN, "no answer")
 
 
 class Pause(enum.Enum):
-    """How a node stands still."""
+    """How a node is paused."""
 
-    SUSPENDED = "its monotonic time stands still"
-    FROZEN = "its monotonic time goes on"
+    SUSPENDED = "the monotonic clock stops"
+    FROZEN = "the monotonic clock continues"
 
 
-class Fate(enum.Enum):
-    """What becomes of an append."""
+class AppendFault(enum.Enum):
+    """What happens to an append, and which response the node receives."""
 
-    DONE = "done and told"
-    NEVER = "not done, no answer"
-    ANSWER_LOST = "done, no answer"
-    LATE = "no answer, done later if its condition still holds"
-    DOUBLED = "done, and tried again later; the first answer is told"
-    SECOND_ANSWER = "done twice, the second answer is told"
+    NONE = "appended, with a response"
+    NOT_APPENDED = "not appended, no response"
+    RESPONSE_LOST = "appended, no response"
+    DELAYED = "no response, appended later if the condition still holds"
+    REPEATED_LATER = "appended, and attempted again later; returns the first response"
+    REPEATED_AT_ONCE = "attempted twice in a row; returns the second response"
 
 
 class NodeClock(Clock):
-    """The clock of a node that may stand still; only `elapsed` counts suspensions."""
+    """The clock of a node that can be paused; only `elapsed` counts the time of suspensions."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self._loop = loop
@@ -50,16 +53,16 @@
 
     @property
     def paused(self) -> bool:
-        """Tell whether the node stands still."""
+        """Return whether the node is paused."""
         return self._paused_at is not None
 
     def pause(self, pause: Pause) -> None:
-        """Stand still from now on."""
+        """Pause the node from now on."""
         self._paused_at, self._pause = self._time(), pause
         self._awake.clear()
 
     def wake(self) -> timedelta:
-        """Go on; return for how long the node stood still."""
+        """End the pause; return how long the node was paused."""
         assert self._paused_at is not None
         paused = self._time() - self._paused_at
         if self._pause is Pause.SUSPENDED:
@@ -73,17 +76,17 @@
         return START + self._time()
 
     def monotonic(self) -> timedelta:
-        """Return the time without suspensions."""
+        """Return the time that excludes suspensions."""
         if self._paused_at is not None and self._pause is Pause.SUSPENDED:
             return self._paused_at - self._suspended
         return self._time() - self._suspended
 
     def elapsed(self) -> timedelta:
-        """Return the time with suspensions."""
+        """Return the time that includes suspensions."""
         return self._time()
 
     async def async_sleep(self, duration: timedelta) -> None:
-        """Sleep in the node's monotonic time."""
+        """Sleep for a duration of the node's monotonic time."""
         until = self.monotonic() + duration
         await asyncio.sleep(0)
         await self.async_awake()
@@ -92,7 +95,7 @@
             await self.async_awake()
 
     async def async_awake(self) -> None:
-        """Return as soon as the node does not stand still."""
+        """Wait until the node is not paused."""
         while self.paused:
             await self._awake.wait()
 
@@ -100,11 +103,12 @@
         return timedelta(seconds=self._loop.time())
 
 
-class FatedLink(StoreLink):
-    """A node's way to the store; the next appends meet the `fates` in their order.
+class FaultyStoreLink(StoreLink):
+    """A node's connection to the store, with faults.
 
-    `read_lag` is how much later than it was taken what a read brings arrives. With `conditional` False the
-    log ignores the condition of appends.
+    Each append takes the next fault of `append_faults` and the delay of its late effect, if any.
+    `read_lag` is the time between a read at the store and the arrival of its result. If
+    `conditional` is False, the log ignores the condition of appends.
     """
 
     conditional = True
@@ -112,7 +116,7 @@
     def __init__(self, store: FakeStore, clock: NodeClock) -> None:
         super().__init__(store)
         self.clock = clock
-        self.fates: deque[tuple[Fate, timedelta]] = deque()
+        self.append_faults: deque[tuple[AppendFault, timedelta]] = deque()
         self.read_lag = timedelta()
 
     async def async_append(
@@ -123,32 +127,34 @@
         timeout: timedelta,
         at: int | None = None,
     ) -> Result[Appended, StoreError]:
-        """Append as the next fate says."""
-        fate, later = self.fates.popleft() if self.fates else (Fate.DONE, timedelta())
+        """Append with the next fault."""
+        fault, delay = (
+            self.append_faults.popleft() if self.append_faults else (AppendFault.NONE, timedelta())
+        )
         await self.clock.async_sleep(timedelta(milliseconds=4))
-        if fate is Fate.NEVER:
-            return await self._async_unanswered(timeout)
-        if fate is Fate.LATE:
-            self._later(later, topic, part, records, at)
-            return await self._async_unanswered(timeout)
-        told = self._append_now(topic, part, records, at)
-        if fate is Fate.ANSWER_LOST:
-            return await self._async_unanswered(timeout)
-        if fate is Fate.DOUBLED:
-            self._later(later, topic, part, records, at)
-        if fate is Fate.SECOND_ANSWER:
-            told = self._append_now(topic, part, records, at)
+        if fault is AppendFault.NOT_APPENDED:
+            return await self._async_time_out(timeout)
+        if fault is AppendFault.DELAYED:
+            self._append_later(delay, topic, part, records, at)
+            return await self._async_time_out(timeout)
+        response = self._append_now(topic, part, records, at)
+        if fault is AppendFault.RESPONSE_LOST:
+            return await self._async_time_out(timeout)
+        if fault is AppendFault.REPEATED_LATER:
+            self._append_later(delay, topic, part, records, at)
+        if fault is AppendFault.REPEATED_AT_ONCE:
+            response = self._append_now(topic, part, records, at)
         await self.clock.async_sleep(timedelta(milliseconds=4))
-        return told
+        return response
 
     async def async_read(
         self, topic: str, part: int, start: int, wait: timedelta, timeout: timedelta
     ) -> Result[LogRead, StoreError]:
-        """Read, and bring what was read after the lag."""
+        """Read, and return the result after `read_lag`."""
         read = await super().async_read(topic, part, start, wait, timeout)
         await self.clock.async_awake()
         if self.read_lag > timeout:
-            return await self._async_unanswered(timeout)
+            return await self._async_time_out(timeout)
         await self.clock.async_sleep(self.read_lag)
         return read
 
@@ -160,40 +166,40 @@
             return Err(StoreError(StoreProblem.CONFLICT, position=end))
         return Ok(self.store.append(topic, part, records))
 
-    def _later(self, later: timedelta, *call: Any) -> None:
+    def _append_later(self, delay: timedelta, *call: Any) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(later.total_seconds(), self._append_now, *call)
+        loop.call_later(delay.total_seconds(), self._append_now, *call)
 
-    async def _async_unanswered(self, timeout: timedelta) -> Any:
+    async def _async_time_out(self, timeout: timedelta) -> Any:
         await self.clock.async_sleep(timeout)
-        return Err(NO_ANSWER)
+        return Err(NO_RESPONSE)
 
 
-class Holder:
-    """A VM that may hold the lease, with one process at a time."""
+class SimulatedVm:
+    """A VM that may hold the lease and runs one process at a time."""
 
     def __init__(self, loop: VirtualLoop, store: FakeStore, name: str) -> None:
         self._loop = loop
         self._name = name
         self.clock = NodeClock(loop)
-        self.link = FatedLink(store, self.clock)
+        self.link = FaultyStoreLink(store, self.clock)
         self.keeper: LeaseKeeper
         self.tasks: list[asyncio.Task[None]] = []
         self.start()
 
     def start(self) -> None:
-        """Begin a new process."""
+        """Start a new process."""
         health = StoreHealth(self.clock)
-        self.keeper = LeaseKeeper(self.link, self._name, LEASE, self.clock, health)
+        self.keeper = LeaseKeeper(self.link, self._name, LEASE_DURATION, self.clock, health)
         work = (self.keeper.tail.async_run(), self.keeper.async_run())
         self.tasks = [self._loop.create_task(part) for part in work]
 
     def kill(self) -> None:
-        """End the process as a kill does; what it sent goes on its way."""
+        """Kill the process; requests that it has sent still take effect."""
         for task in self.tasks:
             task.cancel()
         self.tasks = []
 
     def token(self) -> int | None:
-        """Return the token under which the process would act; a dead one acts on nothing."""
+        """Return the token with which the process may act, or None, also for a killed process."""
         return self.keeper.token() if self.tasks else None
--- a/tests/leases/test_foreign_records.py
+++ b/tests/leases/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""Records in the lease's partition that no holder wrote."""
+"""Tests with records in the lease's partition that no holder wrote."""
 
 import asyncio
 from datetime import timedelta
@@ -13,9 +13,9 @@
 from tests.store_fake import FakeStore
 from tests.virtual_time import run_virtual
 
-from .test_lease import Node, _holders
+from .test_lease import Node, _get_tokens
 
-ABSURD = (1 << 63, 1 << 62, -1, 7)
+FORGED_TOKENS = (1 << 63, 1 << 62, -1, 7)
 NOW = timedelta(seconds=1)
 
 
@@ -23,46 +23,47 @@
     return msgspec.msgpack.encode([holder, token])
 
 
-def test_a_holder_goes_on_holding_while_others_write_nonsense() -> None:
-    """Bytes of no form stand between the holder's renewals, three a second.
+def test_holder_loses_its_lease_to_malformed_records() -> None:
+    """Malformed records are written between the holder's renewals, three per second.
 
-    Taken as the sign of somebody unknown, each would end the lease: no engine would be ordered for
-    as long as that goes on. No node can hold by a record that none can read.
+    If each were regarded as a record of an unknown holder, it would end the lease, and no engine
+    would receive orders in the meantime. A record that no node can read gives no node the lease.
     """
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         store = FakeStore()
         nodes = [Node(store, f"front-{number}") for number in range(3)]
         for node in nodes:
             node.start()
         await asyncio.sleep(1)
-        first = _holders(nodes)
+        first = _get_tokens(nodes)
         assert len(first) == 1
         for number in range(60):
             store.append(TOPIC_LEASES, 0, [(b"\xc1 nonsense", b"", b"\x92\xa1x\x91")[number % 3]])
             await asyncio.sleep(0.3)
-            assert _holders(nodes) == first
+            assert _get_tokens(nodes) == first
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
 
 
-def test_an_absurd_token_under_the_holders_name_is_never_ordered_by() -> None:
-    """Renewals of the holder stand in the partition that it did not write, with tokens of their own.
+def test_holder_uses_an_out_of_range_token_from_a_forged_renewal() -> None:
+    """The partition contains renewals under the holder's name that it did not write.
 
-    1. Those with a token that no acquisition before them gave are passed over, and it goes on.
-    2. The token that it acts by never grows past the partition's end, where the next holder's begins.
+    1. Renewals with a token that no earlier acquisition gave are ignored, and the holder continues.
+    2. The token with which the holder acts never exceeds the end of the partition, above which the
+       next holder's token is.
 
-    Engines refuse all that is lower than the highest token they saw: one absurd order, and no holder
-    could ever order again.
+    Engines refuse orders with a token lower than the highest that they have received. After one
+    order with a token that is far too high, no holder could give orders any more.
     """
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         store = FakeStore()
         node, other = Node(store, "front-1"), Node(store, "front-2")
         node.start()
         await asyncio.sleep(1)
         other.start()
-        for token in ABSURD:
+        for token in FORGED_TOKENS:
             store.append(TOPIC_LEASES, 0, [_record(node.keeper.holder, token)])
             await asyncio.sleep(2)
             held = node.keeper.token()
@@ -73,13 +74,13 @@
         after = other.keeper.token()
         assert before is not None and after is not None and after > before
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
 
 
-def test_a_sound_record_after_a_bad_one_is_taken_and_the_bad_one_counted() -> None:
-    """A node that starts reads both; by reason, one is counted for each kind."""
+def test_invalid_record_hides_the_valid_one_after_it_or_is_not_counted() -> None:
+    """A starting node applies the valid record and counts the invalid ones by reason."""
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         store = FakeStore()
         bad = [b"\xc1", _record("", 0), _record("x", 1 << 60), _record("x", -4)]
         bad += deep(b"\x93\xa1a\x00")
@@ -93,13 +94,14 @@
         assert node.metrics.value(drops, reason="lease_record_unreadable") == 6
         assert node.metrics.value(drops, reason="lease_record_unsound") == 3
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
 
 
-def test_a_renewal_whose_acquisition_was_deleted_is_taken() -> None:
-    """Read late, the partition begins with renewals, or jumps to those of a holder not known here.
+def test_renewal_is_ignored_after_its_acquisition_was_deleted() -> None:
+    """A node that reads late finds renewals first, or renewals of a holder that it does not know.
 
-    Passed over, the lease would seem to lapse while it is held, and two nodes would give orders.
+    If they were ignored, the lease would seem to expire while it is held, and two nodes would give
+    orders.
     """
     book = LeaseBook()
     assert book.apply(900, LeaseRecord("a", 41), NOW)
@@ -117,21 +119,21 @@
         max_size=12,
     )
 )
-def test_tokens_never_fall_and_never_pass_the_partitions_end(rows: list[tuple[str, int]]) -> None:
-    """Whatever stands there: the next acquisition has a higher token than all that anybody held by."""
+def test_token_decreases_or_exceeds_the_partitions_end(records: list[tuple[str, int]]) -> None:
+    """With any records, the next acquisition gets a higher token than all earlier holders."""
     book, highest = LeaseBook(), 0
-    for offset, row in enumerate(rows):
-        book.apply(offset, LeaseRecord(*row), NOW)
+    for offset, record in enumerate(records):
+        book.apply(offset, LeaseRecord(*record), NOW)
         token = 0 if book.holding is None else book.holding.token
         assert highest <= token <= offset + 1
         highest = token
 
 
 @given(st.lists(foreign(_record("front-1/aa", 0), _record("front-1/aa", 1)), max_size=6))
-def test_no_bytes_in_the_partition_raise(records: list[bytes]) -> None:
-    """They are read one by one, and the record behind them is taken."""
+def test_record_raises_or_hides_the_next_one(records: list[bytes]) -> None:
+    """Arbitrary records are read one by one, and the valid record after them is applied."""
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         store = FakeStore()
         node = Node(store, "front-1")
         for offset, data in enumerate([*records, _record("front-9/aa", 0)]):
@@ -139,4 +141,4 @@
         holding = node.keeper.book.holding
         assert holding is not None and holding.token == len(records) + 1
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
--- a/tests/leases/test_lease.py
+++ b/tests/leases/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease: one holder at a time, with a token that grows with each."""
+"""Tests of the lease: one holder at a time, with a higher token for each new holder."""
 
 import asyncio
 from datetime import timedelta
@@ -10,113 +10,114 @@
 from tests.store_fake import FakeStore, StoreLink
 from tests.virtual_time import LoopClock, run_virtual
 
-LEASE = timedelta(seconds=3)
+LEASE_DURATION = timedelta(seconds=3)
 
 
 class Node:
-    """A node with its own way to the store."""
+    """A node with its own connection to the store."""
 
     def __init__(self, store: FakeStore, name: str) -> None:
         self.link = StoreLink(store)
         clock = LoopClock()
         self.metrics = Metrics()
         health = StoreHealth(clock, self.metrics)
-        self.keeper = LeaseKeeper(self.link, name, LEASE, clock, health)
+        self.keeper = LeaseKeeper(self.link, name, LEASE_DURATION, clock, health)
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Run the node's tasks."""
+        """Start the node's tasks."""
         work = (self.keeper.tail.async_run(), self.keeper.async_run())
         self.tasks = [asyncio.ensure_future(part) for part in work]
 
     def kill(self) -> None:
-        """End the node as a kill does."""
+        """Kill the node."""
         for task in self.tasks:
             task.cancel()
 
 
-def _holders(nodes: list[Node]) -> dict[str, int]:
+def _get_tokens(nodes: list[Node]) -> dict[str, int]:
     tokens = {node.keeper.holder: node.keeper.token() for node in nodes}
     return {holder: token for holder, token in tokens.items() if token is not None}
 
 
-def test_exactly_one_of_several_nodes_holds() -> None:
-    """Three nodes start at once: one acquires, and keeps the lease for as long as it renews."""
+def test_several_nodes_or_none_hold_the_lease() -> None:
+    """Three nodes start at once: one acquires the lease and keeps it as long as it renews it."""
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         store = FakeStore()
         nodes = [Node(store, f"front-{number}") for number in range(3)]
         for node in nodes:
             node.start()
         await asyncio.sleep(1)
-        first = _holders(nodes)
+        first = _get_tokens(nodes)
         assert len(first) == 1
         for _ in range(200):
             await asyncio.sleep(0.1)
-            assert _holders(nodes) == first
+            assert _get_tokens(nodes) == first
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
 
 
-def test_a_killed_holder_is_followed_after_its_lease_with_a_higher_token() -> None:
+def test_killed_holder_is_replaced_too_early_or_without_a_higher_token() -> None:
     """The holder is killed.
 
-    No other holds before its lease has run out; then one does, with a token above the old one, so
-    that engines refuse what the old one may still have sent.
+    No other node holds the lease before it expires. Then another one acquires it with a higher
+    token, so that engines refuse what the killed holder may still have sent.
     """
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         store = FakeStore()
         nodes = [Node(store, f"front-{number}") for number in range(3)]
         for node in nodes:
             node.start()
         await asyncio.sleep(1)
-        ((holder, token),) = _holders(nodes).items()
+        ((holder, token),) = _get_tokens(nodes).items()
         killed = next(node for node in nodes if node.keeper.holder == holder)
         others = [node for node in nodes if node is not killed]
         killed.kill()
-        await asyncio.sleep((LEASE - timedelta(milliseconds=900)).total_seconds())
-        assert _holders(others) == {}
+        await asyncio.sleep((LEASE_DURATION - timedelta(milliseconds=900)).total_seconds())
+        assert _get_tokens(others) == {}
         await asyncio.sleep(2)
-        ((_, next_token),) = _holders(others).items()
+        ((_, next_token),) = _get_tokens(others).items()
         assert next_token > token
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
 
 
-def test_a_holder_cut_from_the_store_stops_before_another_starts() -> None:
-    """The store falls silent for the holder alone.
+def test_holder_without_store_acts_beside_its_successor() -> None:
+    """The store stops responding to the holder only.
 
-    It stops acting by itself, and only then does another node act: at no moment do two hold.
+    The holder stops acting when its lease expires, and only then does another node act: at no
+    moment do two nodes hold the lease.
     """
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         store = FakeStore()
         nodes = [Node(store, f"front-{number}") for number in range(3)]
         for node in nodes:
             node.start()
         await asyncio.sleep(1)
-        ((holder, _),) = _holders(nodes).items()
+        ((holder, _),) = _get_tokens(nodes).items()
         cut = next(node for node in nodes if node.keeper.holder == holder)
         cut.link.silent = True
         seen = set()
         for _ in range(80):
             await asyncio.sleep(0.1)
-            held = _holders(nodes)
+            held = _get_tokens(nodes)
             assert len(held) <= 1
             seen |= set(held)
         assert len(seen) == 2
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
 
 
-def test_a_paused_holder_wakes_without_its_lease() -> None:
-    """The holder stands still past its lease.
+def test_holder_acts_on_its_expired_lease_after_a_pause() -> None:
+    """The holder is paused until its lease has expired.
 
-    Asked for its token right after it wakes, before any other task ran, it has none.
+    Directly after the pause, before any other task has run, it has no token.
     """
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         store = FakeStore()
         node = Node(store, "front-1")
         node.start()
@@ -125,16 +126,17 @@
         asyncio.get_running_loop().jump(4)  # type: ignore[attr-defined]
         assert node.keeper.token() is None
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
 
 
-def test_an_acquisition_that_takes_effect_late_makes_no_second_holder() -> None:
-    """A node's acquisition gets no answer and stands half a second later.
+def test_delayed_acquisition_makes_a_second_holder() -> None:
+    """A node's acquisition gets no response and takes effect half a second later.
 
-    When another node has acquired: its condition fails by then, so it changes nothing.
+    If another node has acquired the lease by then, the condition of the append fails, and it
+    changes nothing.
     """
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         store = FakeStore()
         slow, other = Node(store, "front-1"), Node(store, "front-2")
         slow.link.lost, slow.link.late = 1, timedelta(milliseconds=500)
@@ -143,19 +145,20 @@
         other.start()
         for _ in range(60):
             await asyncio.sleep(0.1)
-            assert len(_holders([slow, other])) <= 1
-        assert len(_holders([slow, other])) == 1
+            assert len(_get_tokens([slow, other])) <= 1
+        assert len(_get_tokens([slow, other])) == 1
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
 
 
-def test_a_restarted_process_takes_over_from_its_own_vm_at_once() -> None:
-    """The holder's process is killed and starts again on its VM.
+def test_restarted_process_waits_for_the_lease_of_its_predecessor() -> None:
+    """The holder's process is killed and restarted on its VM.
 
-    Nobody else can act for that VM, so it need not wait for its predecessor's lease.
+    The new process is the only one on that VM, so it need not wait until the lease of its
+    predecessor expires.
     """
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         store = FakeStore()
         old = Node(store, "front-1")
         old.start()
@@ -168,13 +171,13 @@
         after = new.keeper.token()
         assert before is not None and after is not None and after > before
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
 
 
-def test_a_record_that_is_no_lease_harms_nothing() -> None:
-    """Foreign bytes in the partition are nobody's sign: a node acquires as if they were not there."""
+def test_malformed_record_prevents_acquisition() -> None:
+    """A malformed record in the partition belongs to no holder: a node acquires the lease."""
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         store = FakeStore()
         store.append(TOPIC_LEASES, 0, [b"\xc1 nonsense"])
         node = Node(store, "front-1")
@@ -182,4 +185,4 @@
         await asyncio.sleep(1)
         assert node.keeper.token() is not None
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
--- a/tests/routes/test_routes.py
+++ b/tests/routes/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, and the table in force."""
+"""Tests of route matching and of the active route table."""
 
 from datetime import timedelta
 from random import Random
@@ -24,8 +24,8 @@
     return Route(prefix, host, prefix, RouteKind.IDEMPOTENT, shares, SECOND, SECOND)
 
 
-def test_the_longest_prefix_of_the_host_wins() -> None:
-    """Another host's longer prefix counts for nothing."""
+def test_request_matches_a_shorter_prefix_or_another_host() -> None:
+    """The longest matching prefix of the request's host applies; other hosts' routes do not."""
     table = RouteTable(1, (_route("/a/"), _route("/a/b/"), _route("/a/b/c/", "other")))
     found = table.match("h", "/a/b/c/x")
     assert found is not None and found.prefix == "/a/b/"
@@ -34,8 +34,8 @@
 
 
 @given(st.lists(st.integers(1, 50), min_size=1, max_size=30))
-def test_the_version_in_force_never_goes_back(versions: list[int]) -> None:
-    """Whatever order tables are read in, the newest so far is in force."""
+def test_older_table_replaces_a_newer_one(versions: list[int]) -> None:
+    """Tables can be read in any order; the newest one so far is active."""
     book = RouteBook()
     newest = 0
     for version in versions:
@@ -44,8 +44,8 @@
         assert book.table is not None and book.table.version == newest
 
 
-def test_a_split_follows_the_weights() -> None:
-    """Nine of ten requests go to the heavier service."""
+def test_services_are_not_chosen_by_weight() -> None:
+    """With weights 90 and 10, nine of ten requests go to the first service."""
     shares = (ServiceShare("a", 90), ServiceShare("b", 10))
     route = Route("r", "h", "/", RouteKind.IDEMPOTENT, shares, SECOND, SECOND)
     rng = Random(1)
@@ -53,8 +53,11 @@
     assert 850 < drawn.count("a") < 950
 
 
-def test_lanes_learn_places_and_types_from_the_book() -> None:
-    """What upstreams say of their places goes before what the table says."""
+def test_slots_reported_by_upstreams_do_not_override_the_table() -> None:
+    """The number of slots that upstreams report takes precedence over the number in the table.
+
+    The type of a service follows from whether the table has engine settings for it.
+    """
     book = RouteBook()
     book.apply(RouteTable(1, (), {"engines": EngineService(12, ("m",)), "plain": None}))
     assert book.spec("engines").concurrency == 12
