--- a/bench/capacity/registrations.py
+++ b/bench/capacity/registrations.py
@@ -19,7 +19,7 @@
 from cranberryline.helpers.tail import StoreHealth
 from cranberryline.platform.adapter import UsersPlatform
 from cranberryline.ports.store import KeyedRecord
-from cranberryline.routes import RouteBook, RouteTable
+from cranberryline.routes import ActiveRoutes, RouteTable
 from cranberryline.upstreams.directory import Directory
 
 from .report import print_fits, print_line
@@ -59,7 +59,7 @@
     def __init__(self) -> None:
         clock, metrics, table = SystemClock(), Metrics(), PeerTable()
         loop = asyncio.get_running_loop()
-        platform, routes = UsersPlatform("127.0.0.1:9"), RouteBook()
+        platform, routes = UsersPlatform("127.0.0.1:9"), ActiveRoutes()
         self.directory = Directory(clock, StoreHealth(clock), loop.call_soon)
         directs = DirectUpstreams(
             clock,
--- a/cranberryline/dispatch/direct.py
+++ b/cranberryline/dispatch/direct.py
@@ -119,7 +119,7 @@
         elif isinstance(msg, Cancel):
             self.runner.cancel(_key(msg.id))
         elif isinstance(msg, Credit):
-            self.runner.grant(_key(msg.id), msg.size)
+            self.runner.extend_window(_key(msg.id), msg.size)
         else:
             return False
         return True
@@ -205,7 +205,7 @@
         """
         for link in self._links.pop(vm_id, []):
             link.draining = True
-            link.runner.end()
+            link.runner.abort_all()
 
     def on_revision(self) -> None:
         """Take the concurrency that the configuration in force allows."""
--- a/cranberryline/execution/__init__.py
+++ b/cranberryline/execution/__init__.py
@@ -1,6 +1,6 @@
 """Run the requests of one upstream and report the outcome of each to its sender."""
 
-from .claims import ClaimService, Granted
+from .claims import ClaimGrant, ClaimService
 from .errors import FailReason, RunnerReason
 from .execution import Execution
 from .model import Held, Reply
@@ -8,10 +8,10 @@
 from .stream import ResponseStream
 
 __all__ = [
+    "ClaimGrant",
     "ClaimService",
     "Execution",
     "FailReason",
-    "Granted",
     "Held",
     "Reply",
     "ResponseStream",
--- a/cranberryline/execution/claims.py
+++ b/cranberryline/execution/claims.py
@@ -26,7 +26,7 @@
 from cranberryline.requests.errors import ClaimReason, ClaimRefused
 from cranberryline.requests.model import Claim, ClaimOutcome, ClaimState
 
-__all__ = ["ClaimService", "Granted", "recorded_outcome"]
+__all__ = ["ClaimGrant", "ClaimService", "recorded_outcome"]
 
 # Claims that arrive within this interval share one append. The log accepts several hundred appends
 # per second in total; one side process uses at most 40 of them, and a claim waits 13 ms on average.
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen
-class Granted:
+class ClaimGrant:
     """The right to run a request with an idempotency key once.
 
     The run must begin before `start_before`, a reading of the monotonic clock.
@@ -74,7 +74,7 @@
     fingerprint: str
     budget: timedelta
     deadline: timedelta
-    fut: "asyncio.Future[Result[Granted, ClaimRefused]]"
+    fut: "asyncio.Future[Result[ClaimGrant, ClaimRefused]]"
 
 
 def recorded_outcome(
@@ -107,7 +107,7 @@
         self._fold = fold or ClaimFold()
         self._new_id = new_id
         self._pending: list[_PendingClaim] = []
-        self._active: dict[str, Granted] = {}
+        self._active: dict[str, ClaimGrant] = {}
         self._outcomes: dict[str, tuple[Record, ClaimOutcome]] = {}
         self._abandons: dict[str, Record] = {}
         self._abandon_confirmations: dict[str, asyncio.Future[None]] = {}
@@ -121,12 +121,12 @@
 
     async def async_claim(
         self, key: str, fingerprint: str, budget: timedelta
-    ) -> Result[Granted, ClaimRefused]:
+    ) -> Result[ClaimGrant, ClaimRefused]:
         """Claim a key within the budget.
 
         Only Ok allows the caller to run the request; any Err means that it must not run it.
         """
-        fut: asyncio.Future[Result[Granted, ClaimRefused]] = (
+        fut: asyncio.Future[Result[ClaimGrant, ClaimRefused]] = (
             asyncio.get_running_loop().create_future()
         )
         if self._stopped:
@@ -145,7 +145,7 @@
             self._abandon_unrun(pending)
             raise
 
-    async def async_settle(self, claim: Granted, outcome: ClaimOutcome) -> None:
+    async def async_settle(self, claim: ClaimGrant, outcome: ClaimOutcome) -> None:
         """Queue the outcome of a run for the log; the append is retried until it succeeds."""
         if self._active.pop(claim.claim_id, None) is None:
             return
@@ -154,14 +154,14 @@
         _drop_oldest(self._outcomes)
         self._ensure_task()
 
-    def leave_unknown(self, claim: Granted) -> None:
+    def end_without_outcome(self, claim: ClaimGrant) -> None:
         """End a run that has no outcome to record; its key is reported as unknown from now on.
 
         Does nothing if the claim was settled or abandoned before.
         """
         self._active.pop(claim.claim_id, None)
 
-    async def async_abandon(self, claim: Granted) -> None:
+    async def async_abandon(self, claim: ClaimGrant) -> None:
         """Release the key of a granted claim whose request was not run and never will be.
 
         Return when the log has accepted the record, at the latest after `ABANDON_TIMEOUT`. If
@@ -297,7 +297,7 @@
                 await self._async_refuse_losing_claim(pending)
 
     def _grant(self, pending: _PendingClaim) -> None:
-        granted = Granted(pending.key, pending.claim_id, pending.deadline)
+        granted = ClaimGrant(pending.key, pending.claim_id, pending.deadline)
         if not granted.may_start(self._clock.monotonic()):
             self._refuse(pending, ClaimReason.LOG_UNAVAILABLE, RETRY_AFTER_OUTAGE)
             self._abandon_unrun(pending)
--- a/cranberryline/execution/execution.py
+++ b/cranberryline/execution/execution.py
@@ -16,7 +16,7 @@
 from cranberryline.requests.model import ClaimOutcome
 from cranberryline.transport.model import Failed, NotRun
 
-from .claims import ClaimService, Granted, recorded_outcome
+from .claims import ClaimGrant, ClaimService, recorded_outcome
 from .errors import FailReason, RunnerReason
 from .model import Held, Reply
 
@@ -92,9 +92,9 @@
         try:
             await self._async_run_once(request, grant)
         finally:
-            self.claims.leave_unknown(grant)
+            self.claims.end_without_outcome(grant)
 
-    async def _async_run_once(self, request: Held, grant: Granted | None) -> None:
+    async def _async_run_once(self, request: Held, grant: ClaimGrant | None) -> None:
         msg = request.msg
         if request.is_eligible is not None and not request.is_eligible():
             # The event loop may have been busy for any time since the request left the queue.
@@ -112,7 +112,7 @@
             await self.claims.async_settle(grant, outcome)
 
     async def _async_handle_send_error(
-        self, request: Held, error: PlatformError, grant: Granted | None
+        self, request: Held, error: PlatformError, grant: ClaimGrant | None
     ) -> None:
         if not error.may_have_run:
             if grant is not None:
--- a/cranberryline/execution/runner.py
+++ b/cranberryline/execution/runner.py
@@ -110,7 +110,7 @@
         elif outcome is CancelOutcome.STOP:
             self._stop(key)
 
-    def grant(self, key: RequestKey, size: int) -> None:
+    def extend_window(self, key: RequestKey, size: int) -> None:
         """Allow `size` more bytes of a response to be sent."""
         request = self._requests.get(key)
         if request is not None:
@@ -139,7 +139,7 @@
             self._remove(key)
             send_not_run(request.msg.id, RunnerReason.DRAINING.value, request.reply, self._metrics)
 
-    def end(self) -> None:
+    def abort_all(self) -> None:
         """Refuse queued requests and stop running ones, because the upstream process is gone.
 
         Unlike `cancel`, this also stops requests that are not idempotent. Senders are informed here
--- a/cranberryline/gateway/app.py
+++ b/cranberryline/gateway/app.py
@@ -30,7 +30,7 @@
 from cranberryline.platform.adapter import UsersPlatform
 from cranberryline.platform.ports import NamedVersion, PlatformPort
 from cranberryline.ports.store import KeyedRecord
-from cranberryline.routes import RouteBook, RouteTable
+from cranberryline.routes import ActiveRoutes, RouteTable
 from cranberryline.settings import GatewaySettings
 from cranberryline.upstreams.directory import Directory, Registration
 from cranberryline.weights.lags import TrainerLags
@@ -77,7 +77,7 @@
         self._ids = iter(range(1, sys.maxsize))
         self.stopping = False
         self.metrics = Metrics()
-        self.routes = RouteBook()
+        self.routes = ActiveRoutes()
         self.health = StoreHealth(clock, self.metrics)
         self.store = RelayedLog(platform.log, self._relay_peers, clock, self.metrics)
         self.directory = Directory(clock, self.health, run_soon)
--- a/cranberryline/gateway/handler.py
+++ b/cranberryline/gateway/handler.py
@@ -20,7 +20,7 @@
 from cranberryline.helpers.problem import ProblemHandler, problem_body
 from cranberryline.jobs.ports import EdgeFormat
 from cranberryline.jobs.service import JobService
-from cranberryline.routes import RouteBook
+from cranberryline.routes import ActiveRoutes
 
 __all__ = ["RETRY_AFTER", "CallerHandler", "GatewayContext", "ReadyHandler"]
 
@@ -36,7 +36,7 @@
     clock: Clock
     metrics: Metrics
     edge: EdgeFormat
-    routes: RouteBook
+    routes: ActiveRoutes
     dispatcher: Dispatcher
     jobs: JobService
     rng: random.Random
--- a/cranberryline/gateway/registrations.py
+++ b/cranberryline/gateway/registrations.py
@@ -5,7 +5,7 @@
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.platform.ports import PlatformPort
 from cranberryline.ports.store import KeyedRecord
-from cranberryline.routes import RouteBook, RouteTable
+from cranberryline.routes import ActiveRoutes, RouteTable
 from cranberryline.upstreams.directory import Directory, Registration
 from cranberryline.upstreams.errors import RegistrationProblem
 from cranberryline.weights.shift import EngineView
@@ -22,7 +22,7 @@
     """
 
     def __init__(
-        self, platform: PlatformPort, directory: Directory, routes: RouteBook, metrics: Metrics
+        self, platform: PlatformPort, directory: Directory, routes: ActiveRoutes, metrics: Metrics
     ) -> None:
         self._platform = platform
         self._directory = directory
@@ -52,7 +52,7 @@
 
     def _put(self, row: Registration) -> None:
         table = self._routes.table
-        if table is None or not table.names(row.service):
+        if table is None or not table.names_service(row.service):
             self._held[row.id] = row
             if table is not None:
                 self._refuse(row.id, RegistrationProblem.UNKNOWN_SERVICE)
@@ -62,7 +62,7 @@
             self._count(put.unwrap_err())
 
     def _on_table(self, table: RouteTable) -> None:
-        named = [row for row in self._held.values() if table.names(row.service)]
+        named = [row for row in self._held.values() if table.names_service(row.service)]
         for row in named:
             del self._held[row.id]
             self._put(row)
--- a/cranberryline/jobs/item_context.py
+++ b/cranberryline/jobs/item_context.py
@@ -13,7 +13,7 @@
 from cranberryline.dispatch.dispatch import Dispatcher
 from cranberryline.helpers.clock import Clock
 from cranberryline.helpers.metrics import Metrics
-from cranberryline.routes import RouteBook
+from cranberryline.routes import ActiveRoutes
 from cranberryline.upstreams.versions import UpstreamVersions
 
 from .freshness import JobFreshness
@@ -34,7 +34,7 @@
 class ItemContext:
     """Dependencies of `ItemRun`, and the state that all runs of this node share."""
 
-    routes: RouteBook
+    routes: ActiveRoutes
     dispatcher: Dispatcher
     edge: EdgeFormat
     versions: UpstreamVersions
--- a/cranberryline/jobs/runner.py
+++ b/cranberryline/jobs/runner.py
@@ -13,7 +13,7 @@
 from cranberryline.helpers.logging import get_logger
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.helpers.tail import PartitionTail
-from cranberryline.routes import RouteBook
+from cranberryline.routes import ActiveRoutes
 from cranberryline.upstreams.versions import UpstreamVersions
 
 from .groups import group_of
@@ -47,7 +47,7 @@
     """Dependencies of `JobRunner`."""
 
     jobs: JobService
-    routes: RouteBook
+    routes: ActiveRoutes
     dispatcher: Dispatcher
     edge: EdgeFormat
     versions: UpstreamVersions
--- a/cranberryline/routes/__init__.py
+++ b/cranberryline/routes/__init__.py
@@ -1,13 +1,13 @@
 """Routes: which service handles a request, and with which limits."""
 
-from .book import RouteBook
+from .active import ActiveRoutes
 from .model import EngineService, Limits, Route, RouteKind, RouteTable, ServiceShare
 
 __all__ = [
+    "ActiveRoutes",
     "EngineService",
     "Limits",
     "Route",
-    "RouteBook",
     "RouteKind",
     "RouteTable",
     "ServiceShare",
--- a/cranberryline/routes/book.py
+++ b/cranberryline/routes/active.py
@@ -8,14 +8,14 @@
 
 from .model import RouteTable
 
-__all__ = ["RouteBook"]
+__all__ = ["ActiveRoutes"]
 
 # Applies until the route table or an upstream states how many requests an upstream runs at once.
 _DEFAULT_CONCURRENCY = 8
 _MAX_QUEUE_SECONDS = 5.0
 
 
-class RouteBook:
+class ActiveRoutes:
     """Hold the newest route table that has been read.
 
     It has the methods by which request dispatch reads the service settings of a configuration, so
--- a/cranberryline/routes/model.py
+++ b/cranberryline/routes/model.py
@@ -97,7 +97,7 @@
     services: Mapping[str, EngineService | None] = attrs.field(factory=dict)
     limits: Limits = Limits()
 
-    def names(self, service: str) -> bool:
+    def names_service(self, service: str) -> bool:
         """Return whether the table lists a service or a route uses it."""
         if service in self.services:
             return True
--- a/cranberryline/side/server.py
+++ b/cranberryline/side/server.py
@@ -113,7 +113,7 @@
         elif isinstance(msg, Cancel):
             self._runner.cancel(RequestKey(conn.name, msg.id))
         elif isinstance(msg, Credit):
-            self._runner.grant(RequestKey(conn.name, msg.id), msg.size)
+            self._runner.extend_window(RequestKey(conn.name, msg.id), msg.size)
         elif isinstance(msg, ConfigDelta | ConfigRequest):
             self._events.on_config(conn, msg)
         elif isinstance(msg, Members):
--- a/tests/dispatch/test_last_check.py
+++ b/tests/dispatch/test_last_check.py
@@ -9,7 +9,7 @@
 from cranberryline.gateway.app import GatewayProcess
 from cranberryline.helpers.clock import SystemClock
 from cranberryline.helpers.metrics import Metrics
-from cranberryline.routes import RouteBook
+from cranberryline.routes import ActiveRoutes
 from cranberryline.upstreams.directory import Registration
 from tests.execution.conftest import FakeUpstream
 
@@ -56,7 +56,7 @@
 
     The lane then gives turns that wait in the way's own queue, where nothing asks again.
     """
-    routes, clock = RouteBook(), SystemClock()
+    routes, clock = ActiveRoutes(), SystemClock()
     directs = DirectUpstreams(
         clock,
         Metrics(),
--- a/tests/execution/conftest.py
+++ b/tests/execution/conftest.py
@@ -8,7 +8,7 @@
 import pytest
 from result import Err, Ok, Result
 
-from cranberryline.execution.claims import Granted
+from cranberryline.execution.claims import ClaimGrant
 from cranberryline.execution.execution import Execution
 from cranberryline.execution.runner import Runner
 from cranberryline.helpers.clock import SystemClock
@@ -91,18 +91,18 @@
 
     async def async_claim(
         self, key: str, digest: str, budget: timedelta
-    ) -> Result[Granted, ClaimRefused]:
+    ) -> Result[ClaimGrant, ClaimRefused]:
         if self.refused is not None:
             return Err(self.refused)
-        return Ok(Granted(key, "claim-1", self.start_before))
+        return Ok(ClaimGrant(key, "claim-1", self.start_before))
 
-    async def async_settle(self, claim: Granted, outcome: ClaimOutcome) -> None:
+    async def async_settle(self, claim: ClaimGrant, outcome: ClaimOutcome) -> None:
         self.results.append(f"settled {outcome.status}")
 
-    async def async_abandon(self, claim: Granted) -> None:
+    async def async_abandon(self, claim: ClaimGrant) -> None:
         self.results.append("abandoned")
 
-    def leave_unknown(self, claim: Granted) -> None:
+    def end_without_outcome(self, claim: ClaimGrant) -> None:
         self.results.append("left")
 
 
--- a/tests/execution/test_runner.py
+++ b/tests/execution/test_runner.py
@@ -121,7 +121,7 @@
         sent = [msg for msg in harness.replies_to(1) if isinstance(msg, Chunk)]
         assert len(sent) == 1
         for _ in range(3):
-            harness.runner.grant(harness.key(1), INITIAL_WINDOW_BYTES)
+            harness.runner.extend_window(harness.key(1), INITIAL_WINDOW_BYTES)
             await asyncio.sleep(0)
         await harness.async_idle()
         assert harness.replies_to(1)[-1] == End(1, 3)
--- a/tests/gateway/test_registrations.py
+++ b/tests/gateway/test_registrations.py
@@ -11,7 +11,7 @@
 from cranberryline.helpers.tail import StoreHealth
 from cranberryline.platform.adapter import UsersPlatform
 from cranberryline.ports.store import KeyedRecord
-from cranberryline.routes import RouteBook
+from cranberryline.routes import ActiveRoutes
 from cranberryline.upstreams import directory as directory_module
 from cranberryline.upstreams.directory import Directory
 
@@ -37,7 +37,7 @@
     lines, metrics = _Lines(), Metrics()
     monkeypatch.setattr(directory_module, "_LOGGER", lines)
     made = Registrations(
-        UsersPlatform("127.0.0.1:9"), Directory(clock, StoreHealth(clock)), RouteBook(), metrics
+        UsersPlatform("127.0.0.1:9"), Directory(clock, StoreHealth(clock)), ActiveRoutes(), metrics
     )
     for _ in range(60):
         made.take(KeyedRecord("i-1", b"\xff"))
--- a/tests/jobs/engine_harness.py
+++ b/tests/jobs/engine_harness.py
@@ -30,7 +30,7 @@
     UpstreamRequest,
     VmEntry,
 )
-from cranberryline.routes import RouteBook
+from cranberryline.routes import ActiveRoutes
 from cranberryline.upstreams.directory import Directory, Registration
 from tests.jobs.gateway_fake import make_routes
 from tests.virtual_time import LoopClock
@@ -103,7 +103,7 @@
         clock, metrics, table = LoopClock(), Metrics(), PeerTable()
         self.engines: dict[str, FakeEngine] = {}
         self.directory = Directory(clock, StoreHealth(clock))
-        routes = RouteBook()
+        routes = ActiveRoutes()
         directs = DirectUpstreams(
             clock,
             metrics,
--- a/tests/requests/test_claim_service.py
+++ b/tests/requests/test_claim_service.py
@@ -6,7 +6,7 @@
 import pytest
 from result import Ok, Result
 
-from cranberryline.execution.claims import ClaimService, Granted
+from cranberryline.execution.claims import ClaimGrant, ClaimService
 from cranberryline.helpers.clock import FakeClock
 from cranberryline.requests import ClaimFold, ClaimOutcome, ClaimReason, ClaimRefused
 
@@ -32,7 +32,7 @@
         await asyncio.wait([service._task])
 
 
-def reason_of(result: Result[Granted, ClaimRefused]) -> ClaimReason:
+def reason_of(result: Result[ClaimGrant, ClaimRefused]) -> ClaimReason:
     """Return why a claim was refused."""
     return result.unwrap_err().reason
 
--- a/tests/requests/test_claim_states.py
+++ b/tests/requests/test_claim_states.py
@@ -15,7 +15,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from result import Ok, Result
 
-from cranberryline.execution.claims import ClaimService, Granted
+from cranberryline.execution.claims import ClaimGrant, ClaimService
 from cranberryline.helpers.clock import FakeClock
 from cranberryline.requests import ClaimFold, ClaimOutcome, ClaimReason, ClaimRefused
 
@@ -31,7 +31,7 @@
     """A granted claim that its side has not used yet."""
 
     side: int
-    granted: Granted
+    granted: ClaimGrant
     fingerprint: str
 
 
@@ -46,7 +46,7 @@
         self.lives = 0
         self.ids = 0
         self.services = [self._new_service() for _ in range(SIDES)]
-        self.calls: list[tuple[int, str, asyncio.Task[Result[Granted, ClaimRefused]]]] = []
+        self.calls: list[tuple[int, str, asyncio.Task[Result[ClaimGrant, ClaimRefused]]]] = []
         self.late: list[Append] = []
         self.uses: list[Use] = []
         self.runs: list[tuple[str, timedelta]] = []
@@ -76,7 +76,7 @@
             if not task.cancelled():
                 self._collect(side, print_, task.result())
 
-    def _collect(self, side: int, print_: str, result: Result[Granted, ClaimRefused]) -> None:
+    def _collect(self, side: int, print_: str, result: Result[ClaimGrant, ClaimRefused]) -> None:
         if isinstance(result, Ok):
             self.uses.append(Use(side, result.unwrap(), print_))
             return
@@ -144,7 +144,7 @@
         if how == "settle":
             self._settle(service.async_settle(use.granted, ClaimOutcome(200, (), body)))
         elif how == "unknown":
-            service.leave_unknown(use.granted)
+            service.end_without_outcome(use.granted)
         else:
             self.restart(use.side)
 
--- a/tests/routes/test_routes.py
+++ b/tests/routes/test_routes.py
@@ -8,9 +8,9 @@
 
 from cranberryline.configs import ServiceType
 from cranberryline.routes import (
+    ActiveRoutes,
     EngineService,
     Route,
-    RouteBook,
     RouteKind,
     RouteTable,
     ServiceShare,
@@ -36,12 +36,12 @@
 @given(st.lists(st.integers(1, 50), min_size=1, max_size=30))
 def test_older_table_replaces_a_newer_one(versions: list[int]) -> None:
     """Tables can be read in any order; the newest one so far is active."""
-    book = RouteBook()
+    routes = ActiveRoutes()
     newest = 0
     for version in versions:
-        assert book.apply(RouteTable(version)) == (version > newest)
+        assert routes.apply(RouteTable(version)) == (version > newest)
         newest = max(newest, version)
-        assert book.table is not None and book.table.version == newest
+        assert routes.table is not None and routes.table.version == newest
 
 
 def test_services_are_not_chosen_by_weight() -> None:
@@ -58,12 +58,12 @@
 
     The type of a service follows from whether the table has engine settings for it.
     """
-    book = RouteBook()
-    book.apply(RouteTable(1, (), {"engines": EngineService(12, ("m",)), "plain": None}))
-    assert book.spec("engines").concurrency == 12
-    assert book.spec("engines").type is ServiceType.ENGINE
-    book.set_slots("engines", 7)
-    assert book.spec("engines").concurrency == 7
-    assert book.spec("plain").type is ServiceType.PLAIN
-    assert book.knows("plain") and not book.knows("nobody")
-    assert book.caller("x") is None and book.shares() == {}
+    routes = ActiveRoutes()
+    routes.apply(RouteTable(1, (), {"engines": EngineService(12, ("m",)), "plain": None}))
+    assert routes.spec("engines").concurrency == 12
+    assert routes.spec("engines").type is ServiceType.ENGINE
+    routes.set_slots("engines", 7)
+    assert routes.spec("engines").concurrency == 7
+    assert routes.spec("plain").type is ServiceType.PLAIN
+    assert routes.knows("plain") and not routes.knows("nobody")
+    assert routes.caller("x") is None and routes.shares() == {}
