--- a/tests/routes/test_routes.py
+++ b/tests/routes/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, and the table in force."""
+"""Tests of route matching and of the active route table."""
 
 from datetime import timedelta
 from random import Random
@@ -8,9 +8,9 @@
 
 from cranberryline.configs import ServiceType
 from cranberryline.routes import (
+    ActiveRoutes,
     EngineService,
     Route,
-    RouteBook,
     RouteKind,
     RouteTable,
     ServiceShare,
@@ -24,8 +24,8 @@
     return Route(prefix, host, prefix, RouteKind.IDEMPOTENT, shares, SECOND, SECOND)
 
 
-def test_the_longest_prefix_of_the_host_wins() -> None:
-    """Another host's longer prefix counts for nothing."""
+def test_request_matches_a_shorter_prefix_or_another_host() -> None:
+    """The longest matching prefix of the request's host applies; other hosts' routes do not."""
     table = RouteTable(1, (_route("/a/"), _route("/a/b/"), _route("/a/b/c/", "other")))
     found = table.match("h", "/a/b/c/x")
     assert found is not None and found.prefix == "/a/b/"
@@ -34,18 +34,18 @@
 
 
 @given(st.lists(st.integers(1, 50), min_size=1, max_size=30))
-def test_the_version_in_force_never_goes_back(versions: list[int]) -> None:
-    """Whatever order tables are read in, the newest so far is in force."""
-    book = RouteBook()
+def test_older_table_replaces_a_newer_one(versions: list[int]) -> None:
+    """Tables can be read in any order; the newest one so far is active."""
+    routes = ActiveRoutes()
     newest = 0
     for version in versions:
-        assert book.apply(RouteTable(version)) == (version > newest)
+        assert routes.apply(RouteTable(version)) == (version > newest)
         newest = max(newest, version)
-        assert book.table is not None and book.table.version == newest
+        assert routes.table is not None and routes.table.version == newest
 
 
-def test_a_split_follows_the_weights() -> None:
-    """Nine of ten requests go to the heavier service."""
+def test_services_are_not_chosen_by_weight() -> None:
+    """With weights 90 and 10, nine of ten requests go to the first service."""
     shares = (ServiceShare("a", 90), ServiceShare("b", 10))
     route = Route("r", "h", "/", RouteKind.IDEMPOTENT, shares, SECOND, SECOND)
     rng = Random(1)
@@ -53,14 +53,17 @@
     assert 850 < drawn.count("a") < 950
 
 
-def test_lanes_learn_places_and_types_from_the_book() -> None:
-    """What upstreams say of their places goes before what the table says."""
-    book = RouteBook()
-    book.apply(RouteTable(1, (), {"engines": EngineService(12, ("m",)), "plain": None}))
-    assert book.spec("engines").concurrency == 12
-    assert book.spec("engines").type is ServiceType.ENGINE
-    book.set_slots("engines", 7)
-    assert book.spec("engines").concurrency == 7
-    assert book.spec("plain").type is ServiceType.PLAIN
-    assert book.knows("plain") and not book.knows("nobody")
-    assert book.caller("x") is None and book.shares() == {}
+def test_slots_reported_by_upstreams_do_not_override_the_table() -> None:
+    """The number of slots that upstreams report takes precedence over the number in the table.
+
+    The type of a service follows from whether the table has engine settings for it.
+    """
+    routes = ActiveRoutes()
+    routes.apply(RouteTable(1, (), {"engines": EngineService(12, ("m",)), "plain": None}))
+    assert routes.spec("engines").concurrency == 12
+    assert routes.spec("engines").type is ServiceType.ENGINE
+    routes.set_slots("engines", 7)
+    assert routes.spec("engines").concurrency == 7
+    assert routes.spec("plain").type is ServiceType.PLAIN
+    assert routes.knows("plain") and not routes.knows("nobody")
+    assert routes.caller("x") is None and routes.shares() == {}
