--- a/cranberryline/dispatch/__init__.py
+++ b/cranberryline/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Dispatch: a request's way from admission over its attempts to its one final answer."""
+"""Admission, queueing, attempts and retries of requests, up to one final result for each."""
 
 from .attempt import CallerLeft
 from .direct import DirectUpstream, DirectUpstreams
--- a/cranberryline/dispatch/attempt.py
+++ b/cranberryline/dispatch/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one upstream: from the Submit to the whole answer, or to what became of it."""
+"""One attempt to run a request at one upstream, from its submission to its outcome."""
 
 import asyncio
 from datetime import timedelta
@@ -34,56 +34,60 @@
 
 __all__ = ["AttemptTrace", "CallerLeft", "async_attempt"]
 
-# A busy side process answers a withdrawal within one turn of its loop; past this its silence is
-# what the caller is told, as `unknown`.
+# A side process under load replies to a withdrawal within one iteration of its event loop. If it
+# does not reply in this time, the caller is told that the request may have run (`unknown`).
 _WITHDRAW_TIMEOUT = timedelta(milliseconds=500)
-_CREDIT_STEP = 64 * 1024
+_CREDIT_STEP_BYTES = 64 * 1024
 _NOT_CONNECTED = "not_connected"
 
 
-class CallerLeft(Exception):  # noqa: N818 - the event, not a fault of ours
+class CallerLeft(Exception):  # noqa: N818 - a normal event, not an error
     """Raise when the caller closed its connection."""
 
 
 @attrs.define
 class AttemptTrace:
-    """What is noted of an attempt besides its outcome: when its answer began, on the monotonic clock."""
+    """Timing of an attempt; `response_started_at` is on the monotonic clock."""
 
-    answered_at: timedelta | None = None
+    response_started_at: timedelta | None = None
 
 
 async def async_attempt(
-    peer: UpstreamLink,
+    link: UpstreamLink,
     req: CallerRequest,
     sink: AnswerSink,
     clock: Clock,
     trace: AttemptTrace | None = None,
 ) -> AttemptOutcome:
-    """Run a request at one upstream and hand its answer to the sink."""
+    """Run a request at one upstream and write its response to the sink."""
     eligible = req.eligible
-    may_go = None if eligible is None else partial(eligible, peer.vm_id)
-    exchange = peer.open(lambda rid, life: _make_submit(rid, life, req, clock), req.tokens, may_go)
+    may_send = None if eligible is None else partial(eligible, link.vm_id)
+    exchange = link.open(
+        lambda request_id, incarnation: _make_submit(request_id, incarnation, req, clock),
+        req.tokens,
+        may_send,
+    )
     if exchange is None:
         return AttemptNotRun(_NOT_CONNECTED)
     runner = _AttemptRunner(exchange, req, sink, clock, trace or AttemptTrace())
     try:
-        return await runner.async_follow()
+        return await runner.async_receive_response()
     except CallerLeft:
-        return await runner.async_abandon("caller_left")
+        return await runner.async_withdraw("caller_left")
     except asyncio.CancelledError:
-        # The caller has gone, so nobody needs the answer to the withdrawal.
+        # The caller has disconnected, so the result of the withdrawal is not needed.
         exchange.send(Withdraw(exchange.id))
-        runner.cancel_if_repeatable()
+        runner.cancel_if_idempotent()
         raise
     finally:
         exchange.close()
 
 
-def _make_submit(rid: int, life: str, req: CallerRequest, clock: Clock) -> Submit:
+def _make_submit(request_id: int, incarnation: str, req: CallerRequest, clock: Clock) -> Submit:
     budget = req.deadline - clock.monotonic()
     return Submit(
-        id=rid,
-        incarnation=life,
+        id=request_id,
+        incarnation=incarnation,
         service=req.service,
         method=req.method,
         path=req.path,
@@ -98,7 +102,7 @@
 
 
 class _AttemptRunner:
-    """Feed an attempt's aggregate from its exchange, and the sink from both."""
+    """Feed an exchange's messages to the attempt's state machine, and its response to the sink."""
 
     def __init__(
         self,
@@ -114,55 +118,54 @@
         self._sink = sink
         self._clock = clock
         self._attempt = EntryAttempt(req.idempotent)
-        self._uncredited = 0
+        self._uncredited_bytes = 0
 
-    async def async_follow(self) -> AttemptOutcome:
-        """Take the answer's messages until there is an outcome."""
+    async def async_receive_response(self) -> AttemptOutcome:
+        """Process the response's messages until there is an outcome."""
         while (outcome := self._attempt.outcome) is None:
             msg = await self._exchange.async_next(self._req.deadline - self._clock.monotonic())
             if msg is None:
-                return await self.async_abandon("deadline")
-            await self._async_take(msg)
+                return await self.async_withdraw("deadline")
+            await self._async_handle(msg)
         if isinstance(outcome, AttemptUnknown | AttemptBroken):
-            self.cancel_if_repeatable()
+            self.cancel_if_idempotent()
         return outcome
 
-    async def async_abandon(self, reason: str) -> AttemptOutcome:
-        """Give up on a request, and learn whether it was run before saying anything about it.
+    async def async_withdraw(self, reason: str) -> AttemptOutcome:
+        """Withdraw the request and return an outcome that says whether it was run.
 
-        A refusal that only means "we stopped waiting" may cross with the dispatch at the side
-        process: the caller would read "not run" while the upstream runs it. Only a confirmed
-        withdrawal counts.
+        A timeout here may coincide with the start of the request at the side process, so the
+        timeout alone does not prove that the request was not run. Only a confirmed withdrawal does.
         """
         if self._attempt.withdraw():
             self._exchange.send(Withdraw(self._exchange.id))
             await self._async_await_withdrawal(reason)
         self._attempt.on_withdraw_timeout(reason)
-        self.cancel_if_repeatable()
+        self.cancel_if_idempotent()
         return self._attempt.outcome or AttemptUnknown(reason)
 
-    def cancel_if_repeatable(self) -> None:
-        """Stop an idempotent run whose answer nobody awaits; the other kind runs to its end."""
+    def cancel_if_idempotent(self) -> None:
+        """Cancel an idempotent run whose response is not needed; other runs are left to finish."""
         if self._req.idempotent:
             self._exchange.send(Cancel(self._exchange.id))
 
     async def _async_await_withdrawal(self, reason: str) -> None:
-        give_up_at = self._clock.monotonic() + _WITHDRAW_TIMEOUT
+        timeout_at = self._clock.monotonic() + _WITHDRAW_TIMEOUT
         while self._attempt.withdrawing:
-            left = give_up_at - self._clock.monotonic()
-            msg = await self._exchange.async_next(left) if left > timedelta() else None
+            remaining = timeout_at - self._clock.monotonic()
+            msg = await self._exchange.async_next(remaining) if remaining > timedelta() else None
             if msg is None:
                 return
             if isinstance(msg, Withdrawn):
                 self._attempt.on_withdrawn(WithdrawOutcome(msg.outcome), reason)
             elif isinstance(msg, NotRun | Lost):
-                await self._async_take(msg)
+                await self._async_handle(msg)
 
-    async def _async_take(self, msg: Message) -> None:
+    async def _async_handle(self, msg: Message) -> None:
         if isinstance(msg, Head):
-            await self._async_take_head(msg)
+            await self._async_handle_head(msg)
         elif isinstance(msg, Chunk):
-            await self._async_take_chunk(msg)
+            await self._async_handle_chunk(msg)
         elif isinstance(msg, End):
             self._attempt.on_end(msg.chunks)
         elif isinstance(msg, NotRun):
@@ -172,20 +175,20 @@
         elif isinstance(msg, Lost):
             self._attempt.on_connection_lost()
 
-    async def _async_take_head(self, msg: Head) -> None:
+    async def _async_handle_head(self, msg: Head) -> None:
         if not self._attempt.on_head(msg.status):
             return
-        self._trace.answered_at = self._clock.monotonic()
+        self._trace.response_started_at = self._clock.monotonic()
         if await self._sink.async_head(msg.status, msg.headers):
             self._attempt.mark_forwarded()
 
-    async def _async_take_chunk(self, msg: Chunk) -> None:
+    async def _async_handle_chunk(self, msg: Chunk) -> None:
         if not self._attempt.on_chunk(msg.seq):
             return
         if not self._sink.can_restart:
             self._attempt.mark_forwarded()
         await self._sink.async_chunk(msg.data, last=self._exchange.ends_next)
-        self._uncredited += len(msg.data)
-        if self._uncredited >= _CREDIT_STEP:
-            self._exchange.peer.grant(self._exchange.id, self._uncredited)
-            self._uncredited = 0
+        self._uncredited_bytes += len(msg.data)
+        if self._uncredited_bytes >= _CREDIT_STEP_BYTES:
+            self._exchange.peer.grant(self._exchange.id, self._uncredited_bytes)
+            self._uncredited_bytes = 0
--- a/cranberryline/dispatch/direct.py
+++ b/cranberryline/dispatch/direct.py
@@ -1,4 +1,4 @@
-"""Reach an upstream that has no side process: its requests run in this entry."""
+"""Links to upstreams that have no side process; their requests run in this process."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,28 +29,28 @@
 
 __all__ = ["DirectUpstream", "DirectUpstreams"]
 
-# Ways that have left are looked through when there are twice as many as the last time: each time that one
-# is made, a list of N upstreams would cost N * N looks.
-_FEW = 4
-# There is one connection, from this entry to itself, and it never breaks.
-_CONNECTION = "direct"
+# Idle draining links are removed only when the number of upstreams has doubled since the last
+# removal. Removing them whenever a link is made would take N * N checks for N upstreams.
+_MIN_PRUNE_SIZE = 4
+# All requests share one connection, from this process to itself, which never breaks.
+_CONNECTION_ID = "direct"
 
 
 class DirectUpstream(UpstreamLink):
-    """Hand requests to a runner of this process, and its replies to who waits for them."""
+    """Run requests in this process and deliver the runner's messages to their exchanges."""
 
     def __init__(
         self,
-        row: VmEntry,
+        vm: VmEntry,
         runner: Runner,
         incarnation: str,
         next_id: Callable[[], int],
-        on_room: Callable[[], None],
+        on_slot_free: Callable[[], None],
         connected: Callable[[], bool] = lambda: False,
     ) -> None:
-        self.vm_id = row.id
-        self.address = row.address
-        self.service = row.service
+        self.vm_id = vm.id
+        self.address = vm.address
+        self.service = vm.service
         self.runner = runner
         self.draining = False
         self.welcome = None
@@ -59,37 +59,37 @@
         self.outstanding_at_load = 0
         self._incarnation = incarnation
         self._next_id = next_id
-        self._on_room = on_room
+        self._on_slot_free = on_slot_free
         self._connected = connected
         self._exchanges: dict[int, Exchange] = {}
         self._tokens = 0
         self._unfinished: set[int] = set()
-        self._orphans: set[int] = set()
-        runner.book.open(_CONNECTION)
+        self._orphaned: set[int] = set()
+        runner.book.open(_CONNECTION_ID)
 
     @property
     def usable(self) -> bool:
-        """Tell whether new work may be sent here."""
+        """Return whether new requests may be sent to this upstream."""
         return not self.draining
 
     @property
     def connected(self) -> bool:
-        """Tell whether the next request would go out on a connection that waits for one."""
+        """Return whether an idle connection is open that the next request would reuse."""
         return self._connected()
 
     @property
     def outstanding(self) -> int:
-        """Count the requests whose answer has not ended, those that nobody awaits included.
+        """Return the number of requests that have not finished, including orphaned ones.
 
-        A call that must not be stopped runs on after its caller has left and keeps its place. With
-        a side process the load report tells of it; here nothing else would, and the entry would
-        send more than the upstream is meant to take.
+        A non-idempotent request keeps running, and keeps its slot, after its caller has
+        disconnected. A side process would include it in its load report. A direct link has no load
+        report, so without this count more requests would be sent than the upstream's concurrency.
         """
-        return len(self._exchanges) + len(self._orphans)
+        return len(self._exchanges) + len(self._orphaned)
 
     @property
     def outstanding_tokens(self) -> int:
-        """Count the expected tokens of the requests whose answer is awaited."""
+        """Return the expected tokens of the requests whose response is awaited."""
         return self._tokens
 
     def open(
@@ -98,7 +98,10 @@
         tokens: int,
         may_go: Callable[[], bool] | None = None,
     ) -> Exchange | None:
-        """Run a request; None when this way is closed, so that nothing was run."""
+        """Run a request; return None, without running it, if this link is draining.
+
+        `may_go` is checked again immediately before the request is sent to the upstream.
+        """
         if self.draining:
             return None
         exchange = Exchange(self, self._next_id(), tokens)
@@ -107,35 +110,35 @@
         self._unfinished.add(exchange.id)
         msg = make(exchange.id, self._incarnation)
         if isinstance(msg, Submit):
-            self.runner.submit(_key(msg.id), msg, self._take, may_go)
+            self.runner.submit(_request_key(msg.id), msg, self._deliver, may_go)
         return exchange
 
     def send(self, msg: Message) -> bool:
-        """Do at once what a side process does with a message about a request."""
+        """Handle a message about a request immediately, as a side process would."""
         if isinstance(msg, Submit):
-            self.runner.submit(_key(msg.id), msg, self._take)
+            self.runner.submit(_request_key(msg.id), msg, self._deliver)
         elif isinstance(msg, Withdraw):
-            self._take(Withdrawn(msg.id, self.runner.withdraw(_key(msg.id))))
+            self._deliver(Withdrawn(msg.id, self.runner.withdraw(_request_key(msg.id))))
         elif isinstance(msg, Cancel):
-            self.runner.cancel(_key(msg.id))
+            self.runner.cancel(_request_key(msg.id))
         elif isinstance(msg, Credit):
-            self.runner.extend_window(_key(msg.id), msg.size)
+            self.runner.extend_window(_request_key(msg.id), msg.size)
         else:
             return False
         return True
 
     def forget(self, request_id: int) -> None:
-        """Drop the record of a request that is over for its caller."""
+        """Remove a request whose caller no longer awaits it; it is orphaned if it still runs."""
         exchange = self._exchanges.pop(request_id, None)
         if exchange is None:
             return
         self._tokens -= exchange.tokens
         if request_id in self._unfinished:
-            self._orphans.add(request_id)
+            self._orphaned.add(request_id)
 
-    def _take(self, msg: Message) -> None:
+    def _deliver(self, msg: Message) -> None:
         request_id = getattr(msg, "id", 0)
-        if _is_last(msg):
+        if _is_final(msg):
             self._finish(request_id)
         exchange = self._exchanges.get(request_id)
         if exchange is not None:
@@ -143,13 +146,13 @@
 
     def _finish(self, request_id: int) -> None:
         self._unfinished.discard(request_id)
-        if request_id in self._orphans:
-            self._orphans.discard(request_id)
-            self._on_room()
+        if request_id in self._orphaned:
+            self._orphaned.discard(request_id)
+            self._on_slot_free()
 
 
 class DirectUpstreams:
-    """Make the direct ways to upstreams, and see to it that a planned stop cuts none of them."""
+    """Create direct links to upstreams, and drain all of them on a planned shutdown."""
 
     def __init__(
         self,
@@ -159,7 +162,7 @@
         incarnation: str,
         next_id: Callable[[], int],
         spec: Callable[[str], ServiceSpec | None],
-        on_room: Callable[[], None],
+        on_slot_free: Callable[[], None],
         connect: Callable[[VmEntry], PlainServicePort] | None = None,
     ) -> None:
         self._clock = clock
@@ -168,86 +171,87 @@
         self._spec = spec
         self._incarnation = incarnation
         self._next_id = next_id
-        self._on_room = on_room
-        self._connect = connect or (lambda row: HttpPlainService(row.address))
+        self._on_slot_free = on_slot_free
+        self._connect = connect or (lambda vm: HttpPlainService(vm.address))
         self._claims: dict[str, ClaimService] = {}
         self._links: dict[str, list[DirectUpstream]] = {}
-        self._prune_at = _FEW
+        self._prune_at = _MIN_PRUNE_SIZE
 
-    def make(self, row: VmEntry) -> DirectUpstream:
-        """Return a new way to an upstream."""
-        port = self._connect(row)
-        execution = Execution(self._clock, self._metrics, port, self._claims_of(row.service))
+    def make(self, vm: VmEntry) -> DirectUpstream:
+        """Return a new direct link to an upstream."""
+        port = self._connect(vm)
+        execution = Execution(self._clock, self._metrics, port, self._claims_for(vm.service))
         book = SideBook(self._incarnation)
-        limit = self._concurrency(row.service)
+        limit = self._service_concurrency(vm.service)
         runner = Runner(self._clock, execution, self._metrics, book, limit)
         link = DirectUpstream(
-            row, runner, self._incarnation, self._next_id, self._on_room, port.connected
+            vm, runner, self._incarnation, self._next_id, self._on_slot_free, port.connected
         )
-        self._prune(row.id)
+        self._prune(vm.id)
         if len(self._links) >= self._prune_at:
             for vm_id in list(self._links):
                 self._prune(vm_id)
-            self._prune_at = max(2 * len(self._links), _FEW)
-        self._links.setdefault(row.id, []).append(link)
+            self._prune_at = max(2 * len(self._links), _MIN_PRUNE_SIZE)
+        self._links.setdefault(vm.id, []).append(link)
         return link
 
     def retire(self, link: DirectUpstream) -> None:
-        """Give an upstream that has left no new work; what it has goes on to its end."""
+        """Send no new requests to an upstream that was removed; its running requests finish."""
         link.draining = True
 
     def end(self, vm_id: str) -> None:
-        """Decide at once what is at an upstream of which nothing more will come.
+        """End all requests at an upstream whose process has been replaced.
 
-        It has started again, under another id of ours. Its connections may stay open and silent, so
-        its runs would be given up one time limit after the other: a caller waits, a text stands still.
-        What has not been sent was not run; all else may have been.
+        The new process is registered under another id. Connections to the old one may stay open
+        without sending anything, so each request would otherwise last until its timeout, with its
+        caller waiting or its text stalled. Requests that were not sent yet are reported as not run;
+        all others may have run.
         """
         for link in self._links.pop(vm_id, []):
             link.draining = True
             link.runner.abort_all()
 
     def on_revision(self) -> None:
-        """Take the concurrency that the configuration in force allows."""
-        for link in self._all():
-            link.runner.set_concurrency(self._concurrency(link.service))
+        """Apply the concurrency of the current configuration to all links."""
+        for link in self._all_links():
+            link.runner.set_concurrency(self._service_concurrency(link.service))
 
     async def async_stop(self) -> None:
-        """Refuse what has not begun, finish what runs, and record the outcomes of keyed calls."""
-        for link in self._all():
+        """Reject queued requests, wait for running ones, and store the outcomes of keyed calls."""
+        for link in self._all_links():
             link.draining = True
             link.runner.drain()
-        await asyncio.gather(*(link.runner.async_wait_idle() for link in self._all()))
+        await asyncio.gather(*(link.runner.async_wait_idle() for link in self._all_links()))
         await asyncio.gather(*(claims.async_stop() for claims in self._claims.values()))
 
-    def _all(self) -> list[DirectUpstream]:
+    def _all_links(self) -> list[DirectUpstream]:
         return [link for links in self._links.values() for link in links]
 
     def _prune(self, vm_id: str) -> None:
-        """Forget the ways to an upstream that have left and have nothing outstanding."""
+        """Remove an upstream's draining links that have no outstanding requests."""
         links = self._links.pop(vm_id, [])
-        left = [link for link in links if not link.draining or link.outstanding]
-        if left:
-            self._links[vm_id] = left
+        remaining = [link for link in links if not link.draining or link.outstanding]
+        if remaining:
+            self._links[vm_id] = remaining
 
-    def _claims_of(self, service: str) -> ClaimService:
+    def _claims_for(self, service: str) -> ClaimService:
         claims = self._claims.get(service)
         if claims is None:
             claims = ClaimService(self._log, service, self._incarnation, self._clock)
             self._claims[service] = claims
         return claims
 
-    def _concurrency(self, service: str) -> int:
+    def _service_concurrency(self, service: str) -> int:
         spec = self._spec(service)
         return DEFAULT_CONCURRENCY if spec is None else spec.concurrency
 
 
-def _key(request_id: int) -> RequestKey:
-    return RequestKey(_CONNECTION, request_id)
+def _request_key(request_id: int) -> RequestKey:
+    return RequestKey(_CONNECTION_ID, request_id)
 
 
-def _is_last(msg: Message) -> bool:
-    """Tell whether a request is over with this message."""
+def _is_final(msg: Message) -> bool:
+    """Return whether a message is the last of its request; a withdrawal after the start is not."""
     if isinstance(msg, Withdrawn):
         return msg.outcome != WithdrawOutcome.STARTED.value
     return isinstance(msg, End | NotRun | Failed)
--- a/cranberryline/dispatch/dispatch.py
+++ b/cranberryline/dispatch/dispatch.py
@@ -1,4 +1,4 @@
-"""Take a request from admission to its one final answer: wait, attempt, retry."""
+"""Run a request from admission over queueing, attempts and retries to its final result."""
 
 from datetime import timedelta
 from random import Random
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from cranberryline.configs import CallerSpec, ConfigFold, ServiceSpec
-from cranberryline.decisions import AttemptOutcome as Verdict
+from cranberryline.decisions import AttemptOutcome as RetryOutcome
 from cranberryline.decisions import GiveUp, RetryPolicy, RetryRequest
 from cranberryline.helpers.clock import Clock
 from cranberryline.helpers.metrics import Metrics
@@ -21,33 +21,34 @@
 
 from .attempt import AttemptTrace, async_attempt
 from .errors import Refusal, RefusalReason
-from .lane import ServiceLane, Turn
+from .lane import ServiceLane, SlotReservation
 from .model import AnswerSink, CallerRequest
 from .outcomes import (
-    broken_run,
-    held_refusal,
+    cooldown_after,
+    hold_refusal,
+    include_earlier_attempts,
     is_final,
-    is_out_of_date,
+    is_stale_registration,
     is_upstream_fault,
+    log_failed_attempt,
+    make_broken_run,
+    make_refusal,
     may_be_crash,
     reason_text,
-    refusal_of,
-    rest_after,
-    tell_failed,
-    with_earlier,
 )
 from .upstreams import PeerTable
 
 __all__ = ["Dispatcher", "ServiceBook"]
 
 _STATUS_SERVER_ERROR = 500
-# Entries that are out of date, asked one after the other for one request.
-_MAX_OUT_OF_DATE = 16
+# Attempts of one request at upstreams with stale registrations that are repeated without a delay;
+# after these, the retry policy decides.
+_MAX_STALE_ATTEMPTS = 16
 _NO_LONGER_ELIGIBLE = Refusal(RefusalReason.NO_UPSTREAM, detail="no longer eligible")
 
 
 class ServiceBook:
-    """What the configuration in force says of services and callers."""
+    """Services and callers of the current configuration."""
 
     def __init__(self, fold: ConfigFold) -> None:
         self._services: dict[str, ServiceSpec] = {}
@@ -55,10 +56,10 @@
         self._callers: dict[str, CallerSpec] = {}
         self._shares: dict[str, float] = {}
         self._fold = fold
-        fold.listen(lambda _: self._read())
-        self._read()
+        fold.listen(lambda _: self._reload())
+        self._reload()
 
-    def _read(self) -> None:
+    def _reload(self) -> None:
         self._services = self._fold.services()
         self._last_specs |= self._services
         self._callers = self._fold.callers()
@@ -66,34 +67,34 @@
         self._shares.update({name: spec.share for name, spec in self._callers.items()})
 
     def knows(self, service: str) -> bool:
-        """Tell whether there is such a service."""
+        """Return whether the service is configured."""
         return service in self._services
 
     def spec(self, service: str) -> ServiceSpec:
-        """Return a service's specification, the last one of a service that was deleted.
+        """Return a service's specification, or the last one it had if it was deleted.
 
-        Requests of a deleted service may still wait. Their lane looks up the specification to give
-        them their answer; failing there, it would leave them waiting for ever.
+        Requests of a deleted service may still be queued. The scheduler needs the specification to
+        end them; if the lookup attempt_failed, they would wait forever.
         """
         return self._last_specs[service]
 
     def for_model(self, model: str) -> str | None:
-        """Return the service that serves a model, by the model's name or its own."""
+        """Return the service that serves a model, or that has its name, None if neither exists."""
         services = self._services
         named = (name for name, spec in services.items() if spec.model == model)
         return next(named, model if model in services else None)
 
     def caller(self, name: str) -> CallerSpec | None:
-        """Return what is configured for a caller."""
+        """Return the specification of a caller, None if it is not configured."""
         return self._callers.get(name)
 
     def shares(self) -> dict[str, float]:
-        """Return the callers' shares; the mapping follows the records in force."""
+        """Return the callers' weights in the queue; the mapping follows the configuration."""
         return self._shares
 
 
 class Dispatcher:
-    """Give each request an upstream in its turn, and its caller one final answer."""
+    """Assign requests to upstreams, retry them, and return one final result for each."""
 
     def __init__(
         self,
@@ -119,7 +120,7 @@
         metrics.in_flight.set_function(lambda: self.in_flight)
 
     def lane(self, service: str) -> ServiceLane:
-        """Return the lane of a service in force."""
+        """Return the scheduler of a configured service; it is created on first use."""
         lane = self._lanes.get(service)
         if lane is None:
             lane = self._lanes[service] = ServiceLane(
@@ -134,26 +135,26 @@
         return lane
 
     def places(self, service: str) -> int:
-        """Return how many requests the service's upstreams work on at once."""
+        """Return how many requests the service's usable upstreams can run at once."""
         return len(self._peers.usable(service)) * self._book.spec(service).concurrency
 
     def with_room(self, service: str) -> list[str]:
-        """Return the upstreams of a service that have a free place, as far as this node knows."""
+        """Return the ids of a service's upstreams with a free slot, as far as this node knows."""
         return self.lane(service).with_room()
 
     def wake(self) -> None:
-        """Let waiting requests look at the upstreams again."""
+        """Assign queued requests to upstreams that have become available."""
         for service, lane in self._lanes.items():
             if self._book.knows(service):
-                lane.pump()
+                lane.dispatch_waiting()
 
     def suspects(self, req: CallerRequest) -> bool:
-        """Tell whether an upstream has crashed under a request: no copy of it is sent then."""
+        """Return whether an upstream crashed while it ran this request; it is not hedged then."""
         guard = self._guard
         return guard is not None and guard.has_suspects and guard.is_suspected(req.fingerprint)
 
     async def async_run(self, req: CallerRequest, sink: AnswerSink) -> Result[str, Refusal]:
-        """Run a request to its end; return the upstream's id, or a refusal that is final."""
+        """Run a request to its end; return the id of the upstream that served it, or a refusal."""
         self.in_flight += 1
         try:
             return await self._async_run(req, sink)
@@ -161,121 +162,129 @@
             self.in_flight -= 1
 
     async def _async_run(self, req: CallerRequest, sink: AnswerSink) -> Result[str, Refusal]:
-        held = self._held(req)
-        trial = held is not None and await self._async_try(req)
-        if held is not None and not trial:
-            return Err(held_refusal(held))
+        hold = self._hold_of(req)
+        is_trial = hold is not None and await self._async_claim_trial(req)
+        if hold is not None and not is_trial:
+            return Err(hold_refusal(hold))
         lane = self.lane(req.service)
         admitted = lane.admit(req)
         if isinstance(admitted, Err):
             return admitted
         avoid: frozenset[str] = req.avoid
-        earlier: list[AttemptOutcome] = []
+        outcomes: list[AttemptOutcome] = []
         while True:
-            taken = await lane.async_take_turn(req, admitted.unwrap(), avoid)
-            if isinstance(taken, Err):
-                return Err(with_earlier(taken.unwrap_err(), earlier))
-            turn = taken.unwrap()
-            if req.eligible is not None and not req.eligible(turn.upstream.peer.vm_id):
-                # The loop may have been busy for any time since the turn was given.
-                lane.give_back(turn)
-                return Err(with_earlier(_NO_LONGER_ELIGIBLE, earlier))
-            held = None if trial else self._held(req)
-            if held is not None:
-                lane.give_back(turn)
-                return Err(with_earlier(held_refusal(held), earlier))
-            trial = False
-            sink.dispatched(turn.upstream.peer.vm_id)
+            reserved = await lane.async_take_turn(req, admitted.unwrap(), avoid)
+            if isinstance(reserved, Err):
+                return Err(include_earlier_attempts(reserved.unwrap_err(), outcomes))
+            reservation = reserved.unwrap()
+            if req.eligible is not None and not req.eligible(reservation.upstream.peer.vm_id):
+                # The event loop may have been busy for some time since the slot was reserved.
+                lane.release_unused(reservation)
+                return Err(include_earlier_attempts(_NO_LONGER_ELIGIBLE, outcomes))
+            hold = None if is_trial else self._hold_of(req)
+            if hold is not None:
+                lane.release_unused(reservation)
+                return Err(include_earlier_attempts(hold_refusal(hold), outcomes))
+            is_trial = False
+            sink.dispatched(reservation.upstream.peer.vm_id)
             trace = AttemptTrace()
-            outcome = await self._async_attempt(lane, turn, req, sink, trace)
+            outcome = await self._async_run_attempt(lane, reservation, req, sink, trace)
             if isinstance(outcome, AttemptDone):
                 if self._guard is not None and outcome.status < _STATUS_SERVER_ERROR:
                     self._guard.record_answer(req.fingerprint)
-                return Ok(turn.upstream.peer.vm_id)
+                return Ok(reservation.upstream.peer.vm_id)
             if self._guard is not None and may_be_crash(outcome, trace, self._clock.monotonic()):
-                await self._guard.async_report_broken_run(broken_run(req, turn.upstream.peer.vm_id))
-            earlier.append(outcome)
-            avoid = avoid | {turn.upstream.peer.vm_id}
-            decision = self._decide_retry(lane, req, earlier, avoid)
+                await self._guard.async_report_broken_run(
+                    make_broken_run(req, reservation.upstream.peer.vm_id)
+                )
+            outcomes.append(outcome)
+            avoid = avoid | {reservation.upstream.peer.vm_id}
+            decision = self._decide_retry(lane, req, outcomes, avoid)
             if isinstance(decision, Refusal):
-                return Err(with_earlier(decision, earlier))
+                return Err(include_earlier_attempts(decision, outcomes))
             self._metrics.retry(reason_text(outcome))
             await self._clock.async_sleep(decision)
 
-    def _held(self, req: CallerRequest) -> Held | None:
+    def _hold_of(self, req: CallerRequest) -> Held | None:
         guard = self._guard
         if guard is None or not guard.has_suspects:
             return None
         return guard.held(req.fingerprint)
 
-    async def _async_try(self, req: CallerRequest) -> bool:
+    async def _async_claim_trial(self, req: CallerRequest) -> bool:
         return self._guard is not None and await self._guard.async_claim_trial(req.fingerprint)
 
-    async def _async_attempt(
+    async def _async_run_attempt(
         self,
         lane: ServiceLane,
-        turn: Turn,
+        reservation: SlotReservation,
         req: CallerRequest,
         sink: AnswerSink,
         trace: AttemptTrace,
     ) -> AttemptOutcome:
         tokens = 0
         try:
-            outcome = await async_attempt(turn.upstream.peer, req, sink, self._clock, trace)
+            outcome = await async_attempt(reservation.upstream.peer, req, sink, self._clock, trace)
             if isinstance(outcome, AttemptDone):
-                tokens = turn.item.tokens
-                turn.upstream.succeeded()
+                tokens = reservation.item.tokens
+                reservation.upstream.response_completed()
                 lane.budget.earn()
             elif is_upstream_fault(outcome):
-                turn.upstream.failed(turn.given, self._clock.monotonic())
-            self._note_not_served(req, turn, outcome)
+                reservation.upstream.attempt_failed(
+                    reservation.reserved_at, self._clock.monotonic()
+                )
+            self._record_failed_attempt(req, reservation, outcome)
             return outcome
         finally:
-            lane.finish(turn, tokens)
+            lane.release(reservation, tokens)
 
-    def _note_not_served(self, req: CallerRequest, turn: Turn, outcome: AttemptOutcome) -> None:
-        """Let an upstream rest that turned the request away, and tell of one that failed it."""
-        rest, now = rest_after(outcome), self._clock.monotonic()
-        if rest is not None:
-            turn.upstream.turned_away(rest, now)
-        if is_upstream_fault(outcome) or is_out_of_date(outcome):
-            tell_failed(req, turn, outcome, now)
+    def _record_failed_attempt(
+        self, req: CallerRequest, reservation: SlotReservation, outcome: AttemptOutcome
+    ) -> None:
+        """Start the cooldown of an upstream that rejected the request, and log failures."""
+        cooldown, now = cooldown_after(outcome), self._clock.monotonic()
+        if cooldown is not None:
+            reservation.upstream.request_rejected(cooldown, now)
+        if is_upstream_fault(outcome) or is_stale_registration(outcome):
+            log_failed_attempt(req, reservation, outcome, now)
 
     def _decide_retry(
         self,
         lane: ServiceLane,
         req: CallerRequest,
-        earlier: list[AttemptOutcome],
+        outcomes: list[AttemptOutcome],
         avoid: frozenset[str],
     ) -> timedelta | Refusal:
-        """Return how long to wait before the next attempt, or the final refusal."""
-        outcome = earlier[-1]
+        """Return the delay before the next attempt, or the final refusal."""
+        outcome = outcomes[-1]
         if isinstance(outcome, AttemptBroken | AttemptDone):
-            return refusal_of(outcome, None)
-        out_of_date = sum(map(is_out_of_date, earlier))
-        entry_is_old = is_out_of_date(outcome) and out_of_date <= _MAX_OUT_OF_DATE
+            return make_refusal(outcome, None)
+        stale_attempts = sum(map(is_stale_registration, outcomes))
+        registration_is_stale = (
+            is_stale_registration(outcome) and stale_attempts <= _MAX_STALE_ATTEMPTS
+        )
         in_time = req.deadline > self._clock.monotonic()
-        if entry_is_old and in_time and self._has_other(req, avoid):
+        if registration_is_stale and in_time and self._has_untried_upstream(req, avoid):
             return timedelta()
         not_run = isinstance(outcome, AttemptNotRun)
-        asked = RetryRequest(
-            outcome=Verdict.NOT_RUN if not_run else Verdict.UNKNOWN,
+        retry_request = RetryRequest(
+            outcome=RetryOutcome.NOT_RUN if not_run else RetryOutcome.UNKNOWN,
             idempotent=req.idempotent,
-            attempts=max(1, len(earlier) - out_of_date),
+            attempts=max(1, len(outcomes) - stale_attempts),
             remaining=req.deadline - self._clock.monotonic(),
         )
         policy = self._retry
         if req.max_attempts is not None:
             policy = attrs.evolve(policy, max_attempts=req.max_attempts)
-        decision = policy.decide(asked, lane.budget, self._rng)
+        decision = policy.decide(retry_request, lane.budget, self._rng)
         if isinstance(decision, GiveUp) or is_final(outcome):
             hint = decision.retry_after if isinstance(decision, GiveUp) else None
-            return refusal_of(outcome, hint)
+            return make_refusal(outcome, hint)
         lane.budget.spend()
         return decision.after
 
-    def _has_other(self, req: CallerRequest, avoid: frozenset[str]) -> bool:
-        """Tell whether an upstream is left that this request was not sent to."""
+    def _has_untried_upstream(self, req: CallerRequest, avoid: frozenset[str]) -> bool:
+        """Return whether an eligible upstream remains that is not to be avoided."""
         ids = (upstream.peer.vm_id for upstream in self._peers.usable(req.service))
         eligible = req.eligible or (lambda _upstream: True)
-        return any(each not in avoid and eligible(each) for each in ids)
+        return any(vm_id not in avoid and eligible(vm_id) for vm_id in ids)
--- a/cranberryline/dispatch/errors.py
+++ b/cranberryline/dispatch/errors.py
@@ -1,4 +1,4 @@
-"""What the entry tells a caller when there is no whole answer."""
+"""The result that a caller receives in place of a complete response."""
 
 import enum
 from datetime import timedelta
@@ -11,7 +11,10 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request has no whole answer."""
+    """Why a request has no complete response.
+
+    Member names are looked up by the upper-case reasons of attempt outcomes (see `outcomes`).
+    """
 
     UNKNOWN_SERVICE = "unknown_service"
     BAD_REQUEST = "bad_request"
@@ -22,13 +25,19 @@
     DEADLINE = "deadline"
     STOPPING = "stopping"
     NOT_READY = "not_ready"
+    # The request is in quarantine because upstreams crashed while they ran it.
     HELD = "held"
+    # No upstream ran the request within the permitted attempts.
     RETRIES_SPENT = "retries_spent"
     UPSTREAM_FAILED = "upstream_failed"
     CONNECTION_LOST = "connection_lost"
+    # The caller closed its connection.
     CALLER_LEFT = "caller_left"
+    # A call with the same idempotency key is still running.
     CLAIM_IN_PROGRESS = "claim_in_progress"
+    # A call with the same idempotency key has started, and its outcome is unknown.
     CLAIM_UNKNOWN = "claim_unknown"
+    # The idempotency key belongs to a different request.
     KEY_REUSED = "key_reused"
     LOG_UNAVAILABLE = "log_unavailable"
     PROTOCOL = "protocol"
@@ -53,10 +62,11 @@
 
 @attrs.frozen
 class Refusal:
-    """A final answer without a result: why, whether it ran, and when to come back.
+    """A final result without a complete response.
 
-    `begun` is set when a part of an answer has already reached the caller, so that the only honest
-    end is to cut the connection.
+    `ran` says whether the request was run, and `retry_after` when the caller may retry. `begun` is
+    set if a part of a response has already reached the caller; the connection must then be closed,
+    so that the caller does not treat the part as a complete response.
     """
 
     reason: RefusalReason
@@ -66,12 +76,15 @@
     begun: bool = False
 
     def behind_runs(self, may_have_run: bool) -> "Refusal":
-        """Return the refusal for all of a request: what one attempt may have run is not told as not run by another."""
+        """Return the refusal for a whole request of several attempts.
+
+        If an earlier attempt may have run, the request must not be reported as not run.
+        """
         if may_have_run and self.ran is Ran.NO:
             return attrs.evolve(self, ran=Ran.UNKNOWN)
         return self
 
     @property
     def status(self) -> int:
-        """Return the HTTP status that fits the reason."""
+        """Return the HTTP status for the reason."""
         return STATUS_BY_REASON.get(self.reason, DEFAULT_STATUS)
--- a/cranberryline/dispatch/lane.py
+++ b/cranberryline/dispatch/lane.py
@@ -1,4 +1,4 @@
-"""One service's requests in this entry: let in, made to wait, given an upstream in turn."""
+"""Admission, queueing and routing of one service's requests in this process."""
 
 import asyncio
 import itertools
@@ -32,36 +32,39 @@
 from .model import CallerRequest
 from .upstreams import PeerTable, Upstream
 
-__all__ = ["ServiceLane", "Turn"]
+__all__ = ["ServiceLane", "SlotReservation"]
 
 _ROUTING = RoutingPolicy()
-# Held-back requests of a retry have been admitted once; they wait no longer than this again.
-_EXPIRED_RETRY_AFTER = timedelta(seconds=1)
-# A report grows old without any event that would tell it.
-_LOOK_AGAIN = timedelta(milliseconds=250)
+# A request that expires or finds no upstream after its admission may be retried this soon.
+_RETRY_AFTER = timedelta(seconds=1)
+# A load report becomes outdated without an event, so a non-empty queue is checked this often.
+_RECHECK_INTERVAL = timedelta(milliseconds=250)
 
 
 @attrs.frozen
-class Turn:
-    """The right to send one request to one upstream; give it back with `ServiceLane.finish`."""
+class SlotReservation:
+    """A slot of an upstream for one request; it must be released by `ServiceLane.release`."""
 
     item: WorkItem
     upstream: Upstream
-    given: timedelta
+    reserved_at: timedelta
 
 
 @attrs.define(eq=False)
 class _Waiter:
+    """A queued request, and the future that receives its reservation or refusal."""
+
     req: CallerRequest
     avoid: frozenset[str]
-    fut: asyncio.Future[Result[Turn, Refusal]]
-    turn: Turn | None = None
+    fut: asyncio.Future[Result[SlotReservation, Refusal]]
+    reservation: SlotReservation | None = None
 
 
 class ServiceLane:
-    """Apply the decisions under load to one service, and keep what they look at.
+    """Admit, queue and route the requests of one service.
 
-    `shares` is a live view: an amended record counts from the next request on.
+    `shares` maps callers to their weights in the queue. It is a live view: a change of the
+    configuration applies from the next request on.
     """
 
     def __init__(
@@ -84,38 +87,38 @@
         self._queue = WorkQueue(0, QueueSettings(caller_weights=shares))
         self.shares = shares
         self._capacity = RateMeter()
-        self._full_since: timedelta | None = None
+        self._saturated_since: timedelta | None = None
         self._waiters: dict[int | str, _Waiter] = {}
         self._ids = itertools.count()
         self._timer: asyncio.TimerHandle | None = None
 
     @property
     def queued(self) -> int:
-        """Count the requests that wait."""
+        """Return the number of queued requests."""
         return len(self._queue)
 
     @property
     def capacity(self) -> float:
-        """Return the tokens a second that were measured while no place was free, or 0."""
+        """Return the tokens per second measured while no slot was free, 0 without a measurement."""
         return self._capacity.tokens_per_second(self._clock.monotonic())
 
     def admit(self, req: CallerRequest) -> Result[timedelta, Refusal]:
-        """Let a request in, with the latest start that is of use, or refuse it at once."""
+        """Admit a request and return the latest time at which it may start, or refuse it."""
         now = self._clock.monotonic()
         policy = AdmissionPolicy(self._limits())
         view = AdmissionView(
             queued=self._queue.queued,
             running=self._queue.running,
-            slots=self._slots(),
+            slots=self._usable_slots(),
             tokens_per_second=self._capacity.tokens_per_second(now),
         )
-        asked = AdmissionRequest(
+        request = AdmissionRequest(
             caller=req.caller,
             priority=Priority(req.caller_class),
             tokens=max(req.tokens, 1),
             remaining=req.deadline - now,
         )
-        decision = policy.decide(view, asked, self._rng)
+        decision = policy.decide(view, request, self._rng)
         if isinstance(decision, Refuse):
             return Err(
                 Refusal(
@@ -128,8 +131,8 @@
 
     async def async_take_turn(
         self, req: CallerRequest, start_by: timedelta, avoid: frozenset[str]
-    ) -> Result[Turn, Refusal]:
-        """Wait for an upstream; the error is final and means that the request was not run."""
+    ) -> Result[SlotReservation, Refusal]:
+        """Wait for a slot of an upstream; a refusal is final, and the attempt was not run."""
         now = self._clock.monotonic()
         item = WorkItem(
             id=next(self._ids),
@@ -142,68 +145,70 @@
         waiter = _Waiter(req, avoid, asyncio.get_running_loop().create_future())
         self._waiters[item.id] = waiter
         self._queue.push(item)
-        self.pump()
+        self.dispatch_waiting()
         try:
             return await waiter.fut
         except asyncio.CancelledError:
-            self._withdraw(item, waiter)
+            self._cancel(item, waiter)
             raise
 
-    def finish(self, turn: Turn, tokens: int) -> None:
-        """Give a turn back, with the tokens that it brought, and let the next one go."""
+    def release(self, reservation: SlotReservation, tokens: int) -> None:
+        """Release the slot of a request that ended with `tokens` tokens, and fill it again."""
         now = self._clock.monotonic()
-        self._queue.finish(turn.item.id)
-        turn.upstream.end(tokens, now - turn.given, now)
-        if self._full_since is not None:
-            self._capacity.record(tokens, now - self._full_since, now)
-            self._full_since = now
-        self.pump()
-
-    def give_back(self, turn: Turn) -> None:
-        """Take a turn back that was not used, and let the next one go."""
-        self._queue.finish(turn.item.id)
-        turn.upstream.release()
-        self.pump()
-
-    def pump(self) -> None:
-        """Give turns as long as there is work and room for it."""
+        self._queue.finish(reservation.item.id)
+        reservation.upstream.complete(tokens, now - reservation.reserved_at, now)
+        if self._saturated_since is not None:
+            self._capacity.record(tokens, now - self._saturated_since, now)
+            self._saturated_since = now
+        self.dispatch_waiting()
+
+    def release_unused(self, reservation: SlotReservation) -> None:
+        """Release a slot to which no request was sent, and fill it again."""
+        self._queue.finish(reservation.item.id)
+        reservation.upstream.release()
+        self.dispatch_waiting()
+
+    def dispatch_waiting(self) -> None:
+        """Reserve slots for queued requests as long as upstreams have free ones."""
         now = self._clock.monotonic()
-        self._queue.slots = self._slots()
+        self._queue.slots = self._usable_slots()
         while self._waiters:
-            free = self._free()
+            free = self._upstreams_with_free_slots()
             if not free:
                 break
             item = self._queue.pop(now)
             if item is None:
                 break
-            self._give_turn(item, free, now)
-        self._expire()
-        self._note_full(now)
+            self._reserve_slot(item, free, now)
+        self._expire_overdue()
+        self._track_saturation(now)
 
-    def _note_full(self, now: timedelta) -> None:
-        """Time only the periods without a free place: the rest says nothing about capacity.
+    def _track_saturation(self, now: timedelta) -> None:
+        """Record since when all slots are taken, as only such periods show the capacity.
 
-        Without any place at all nothing can be served, and that too says nothing: counted, the wait
-        for the first connection after a start makes the service look hundreds of times slower than
-        it is, and admission sends callers away for a minute.
+        A period without any upstream does not count. If it did, the wait for the first connection
+        after a start would make the service look hundreds of times slower than it is, and admission
+        would refuse callers for a minute.
         """
         waiting = len(self._queue) > 0
-        full = self._queue.slots > 0 and (waiting or len(self._queue.running) >= self._queue.slots)
-        if not full:
-            self._full_since = None
-        elif self._full_since is None:
-            self._full_since = now
+        saturated = self._queue.slots > 0 and (
+            waiting or len(self._queue.running) >= self._queue.slots
+        )
+        if not saturated:
+            self._saturated_since = None
+        elif self._saturated_since is None:
+            self._saturated_since = now
 
-    def _give_turn(self, item: WorkItem, free: list[Upstream], now: timedelta) -> None:
+    def _reserve_slot(self, item: WorkItem, free: list[Upstream], now: timedelta) -> None:
         waiter = self._waiters.pop(item.id)
         upstream = self._route(item, waiter, free, now)
         if upstream is None:
             self._queue.finish(item.id)
-            self._settle(waiter, Err(_no_upstream()))
+            self._resolve(waiter, Err(_no_upstream_refusal()))
             return
-        upstream.begin(now)
-        waiter.turn = Turn(item, upstream, now)
-        self._settle(waiter, Ok(waiter.turn))
+        upstream.reserve(now)
+        waiter.reservation = SlotReservation(item, upstream, now)
+        self._resolve(waiter, Ok(waiter.reservation))
 
     def _route(
         self, item: WorkItem, waiter: _Waiter, free: list[Upstream], now: timedelta
@@ -213,14 +218,14 @@
         if eligible is not None:
             free = [upstream for upstream in free if eligible(upstream.peer.vm_id)]
         views = [upstream.view(spec, now) for upstream in free]
-        pace = waiter.req.pace
-        if pace is not None:
-            views = [attrs.evolve(view, tokens_per_second=pace(view.id)) for view in views]
+        token_rate = waiter.req.pace
+        if token_rate is not None:
+            views = [attrs.evolve(view, tokens_per_second=token_rate(view.id)) for view in views]
         excluded = waiter.avoid & {view.id for view in views}
-        # Rather the same upstream again than none: the exclusion is a wish, not a rule.
+        # The exclusion is a preference: if all upstreams are excluded, any of them may be chosen.
         if len(excluded) >= len(views):
             excluded = frozenset()
-        wanted = RouteRequest(
+        request = RouteRequest(
             tokens=max(waiter.req.tokens, 1),
             priority=item.priority,
             data_center=self._data_center,
@@ -228,70 +233,74 @@
             prefix_tokens=waiter.req.prefix_tokens,
             excluded=excluded,
             may_probe=waiter.req.idempotent,
-            short=pace is None,
+            short=token_rate is None,
         )
-        chosen = _ROUTING.choose(views, wanted, self._rng)
+        chosen = _ROUTING.choose(views, request, self._rng)
         return None if chosen is None else self._peers.get(self._service, chosen)
 
-    def _expire(self) -> None:
+    def _expire_overdue(self) -> None:
         now = self._clock.monotonic()
         for item in self._queue.expire(now):
             waiter = self._waiters.pop(item.id, None)
             if waiter is not None:
-                self._settle(waiter, Err(_expired(waiter.req, now)))
-        self._arm_timer(now)
+                self._resolve(waiter, Err(_expired_refusal(waiter.req, now)))
+        self._schedule_recheck(now)
 
-    def _arm_timer(self, now: timedelta) -> None:
+    def _schedule_recheck(self, now: timedelta) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        due = self._queue.next_expiry()
-        if due is not None:
-            wait = max(min(due - now, _LOOK_AGAIN).total_seconds(), 0.0) + 0.001
-            self._timer = asyncio.get_running_loop().call_later(wait, self.pump)
+        expiry = self._queue.next_expiry()
+        if expiry is not None:
+            # Fires 1 ms late, so that the request has expired by then.
+            wait = max(min(expiry - now, _RECHECK_INTERVAL).total_seconds(), 0.0) + 0.001
+            self._timer = asyncio.get_running_loop().call_later(wait, self.dispatch_waiting)
 
-    def _withdraw(self, item: WorkItem, waiter: _Waiter) -> None:
+    def _cancel(self, item: WorkItem, waiter: _Waiter) -> None:
         self._waiters.pop(item.id, None)
         if self._queue.cancel(item.id) is None:
-            # The turn was given in the same moment as the caller left.
+            # The slot was reserved just as the caller disconnected.
             self._queue.finish(item.id)
-            if waiter.turn is not None:
-                waiter.turn.upstream.release()
-        self.pump()
+            if waiter.reservation is not None:
+                waiter.reservation.upstream.release()
+        self.dispatch_waiting()
 
     @staticmethod
-    def _settle(waiter: _Waiter, result: Result[Turn, Refusal]) -> None:
+    def _resolve(waiter: _Waiter, result: Result[SlotReservation, Refusal]) -> None:
         if not waiter.fut.done():
             waiter.fut.set_result(result)
 
     def with_room(self) -> list[str]:
-        """Return the upstreams that have a free place, as far as this node knows."""
-        return [upstream.peer.vm_id for upstream in self._free()]
+        """Return the ids of the upstreams that have a free slot, as far as this node knows."""
+        return [upstream.peer.vm_id for upstream in self._upstreams_with_free_slots()]
 
-    def _free(self) -> list[Upstream]:
+    def _upstreams_with_free_slots(self) -> list[Upstream]:
         spec, now = self._spec(), self._clock.monotonic()
-        return [up for up in self._peers.usable(self._service) if up.has_room(spec, now)]
+        return [up for up in self._peers.usable(self._service) if up.has_free_slot(spec, now)]
 
-    def _slots(self) -> int:
-        """Count the places that this entry can have; the queue's reserves are shares of these.
+    def _usable_slots(self) -> int:
+        """Return how many slots this process can use; the queue's reserves are fractions of these.
 
-        Of all places that exist, other entries hold some: a reserve of those would never be reached.
+        Other entries use some of the service's slots. If the reserves were fractions of all slots,
+        this process might never use enough of them to reach a reserve.
         """
         spec, now = self._spec(), self._clock.monotonic()
-        return sum(upstream.places(spec, now) for upstream in self._peers.usable(self._service))
+        return sum(
+            upstream.usable_slots(spec, now) for upstream in self._peers.usable(self._service)
+        )
 
     def _limits(self) -> AdmissionLimits:
         spec = self._spec()
-        waits = dict(DEFAULT_QUEUE_SECONDS)
-        waits[Priority.APPLICATION] = timedelta(seconds=spec.queue_seconds)
-        return AdmissionLimits(queue_seconds=waits, caller_weights=self.shares)
+        queue_times = dict(DEFAULT_QUEUE_SECONDS)
+        queue_times[Priority.APPLICATION] = timedelta(seconds=spec.queue_seconds)
+        return AdmissionLimits(queue_seconds=queue_times, caller_weights=self.shares)
 
 
-def _no_upstream() -> Refusal:
-    return Refusal(RefusalReason.NO_UPSTREAM, retry_after=_EXPIRED_RETRY_AFTER)
+def _no_upstream_refusal() -> Refusal:
+    return Refusal(RefusalReason.NO_UPSTREAM, retry_after=_RETRY_AFTER)
 
 
-def _expired(req: CallerRequest, now: timedelta) -> Refusal:
-    late = now >= req.deadline
-    reason = RefusalReason.DEADLINE if late else RefusalReason.OVERLOADED
-    return Refusal(reason, retry_after=_EXPIRED_RETRY_AFTER, detail="expired")
+def _expired_refusal(req: CallerRequest, now: timedelta) -> Refusal:
+    deadline_passed = now >= req.deadline
+    reason = RefusalReason.DEADLINE if deadline_passed else RefusalReason.OVERLOADED
+    return Refusal(reason, retry_after=_RETRY_AFTER, detail="expired")
--- a/cranberryline/dispatch/model.py
+++ b/cranberryline/dispatch/model.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through the entry, and where its answer goes."""
+"""A caller's request, and the sink to which its response is written."""
 
 import abc
 import enum
@@ -14,7 +14,7 @@
 
 
 class CallerClass(enum.IntEnum):
-    """Who asks; a lower number is served first under load."""
+    """Kind of caller; under load, a lower number has precedence."""
 
     APPLICATION = 0
     TRAINER = 1
@@ -23,16 +23,20 @@
 
 @attrs.frozen
 class CallerRequest:
-    """One request as the entry accepted it; `deadline` is on the monotonic clock.
-
-    `tokens` is the expected work on a model engine, 0 for a plain service; `prefix_tokens` is what
-    of it an upstream saves that has served the same `prefix_key`; `avoid` names upstreams
-    that should not serve it, such as those already making the same sample. `eligible` tells of an
-    upstream whether it may serve the request at all, and `max_attempts` how many upstreams may be
-    made to run it; None leaves both to the policies. `pace` tells how many of its tokens an upstream makes
-    a second, 0 where that is not known; None leaves it to what the dispatcher measures. `request_id` is
-    the caller's own name for this attempt of it, for the logs; `credential` is what tells callers of one
-    `caller` apart.
+    """A request as it was accepted.
+
+    `deadline` is on the monotonic clock.
+    `key` is the idempotency key, empty if there is none.
+    `tokens` is the expected work on a model engine, 0 for a plain service.
+    `prefix_tokens` is how many of these an upstream saves that has served the same `prefix_key`.
+    `avoid` lists upstreams to use only if there is no other, such as those that already generate
+    the same sample.
+    `eligible` returns whether an upstream may serve the request; None means that any may.
+    `max_attempts` limits how many upstreams run it; None means the limit of the retry policy.
+    `pace` returns how many of its tokens an upstream generates per second, 0 if that is not known;
+    None means the rate measured by the dispatcher.
+    `request_id` is the caller's id for this attempt, for the logs.
+    `credential` distinguishes callers that share one `caller` name.
     """
 
     service: str
@@ -57,34 +61,38 @@
 
     @functools.cached_property
     def fingerprint(self) -> str:
-        """Return what repetitions of this request share at every entry."""
+        """Return the hash that identifies repetitions of this request in all processes."""
         return fingerprint(self.caller, self.credential, self.method, self.path, self.body)
 
 
 class AnswerSink(abc.ABC):
-    """Take an answer as it arrives.
+    """Receive a response as it arrives.
 
-    A sink that `can_restart` forgets an earlier attempt's part of an answer at the next head, so
-    that a broken answer may be made again; what has left for a caller cannot be taken back.
+    A sink with `can_restart` discards the partial response of an earlier attempt when the next
+    response starts, so an incomplete response may be retried. A sink without it forwards data to
+    the caller immediately, so a retry would append to what was sent.
     """
 
     can_restart = False
 
     def dispatched(self, upstream: str) -> None:
-        """Note which upstream an attempt goes to."""
+        """Handle the start of an attempt at an upstream."""
         return
 
     @abc.abstractmethod
     async def async_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> bool:
-        """Take the status and headers; True when the caller may have seen them already."""
+        """Receive the status and headers; return whether the caller may have received them."""
 
     @abc.abstractmethod
     async def async_chunk(self, data: bytes, last: bool = False) -> None:
-        """Take a part of the body, `last` if known to be so; return when there is room for more."""
+        """Receive a part of the body; return once more can be received.
+
+        `last` is set if this is known to be the last part.
+        """
 
 
 class CollectingSink(AnswerSink):
-    """Keep the whole answer in memory."""
+    """Keep the complete response in memory."""
 
     can_restart = True
 
@@ -95,15 +103,15 @@
 
     @property
     def body(self) -> bytes:
-        """Return what has arrived so far."""
+        """Return the body as received so far."""
         return b"".join(self._parts)
 
     async def async_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> bool:
-        """Take the status and headers, and forget an earlier attempt's part of an answer."""
+        """Store the status and headers, and discard the partial body of an earlier attempt."""
         self.status, self.headers = status, headers
         self._parts.clear()
         return False
 
     async def async_chunk(self, data: bytes, last: bool = False) -> None:
-        """Keep a part of the body."""
+        """Store a part of the body."""
         self._parts.append(data)
--- a/cranberryline/dispatch/outcomes.py
+++ b/cranberryline/dispatch/outcomes.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt says: of its upstream, of the next attempt, and to the caller."""
+"""Derive upstream health, retries, crash reports and refusals from the outcomes of attempts."""
 
 from datetime import timedelta
 
@@ -22,31 +22,31 @@
 
 from .attempt import AttemptTrace
 from .errors import Refusal, RefusalReason
-from .lane import Turn
+from .lane import SlotReservation
 from .model import CallerRequest
 
 __all__ = [
-    "broken_run",
-    "held_refusal",
+    "cooldown_after",
+    "hold_refusal",
+    "include_earlier_attempts",
     "is_final",
-    "is_out_of_date",
+    "is_stale_registration",
     "is_upstream_fault",
+    "log_failed_attempt",
+    "make_broken_run",
+    "make_refusal",
     "may_be_crash",
     "reason_text",
-    "refusal_of",
-    "rest_after",
-    "tell_failed",
-    "with_earlier",
 ]
 
 _LOGGER = get_logger(__name__)
 
 _RETRY_AFTER = timedelta(seconds=1)
-# Characters of a path that are told to other gateways and operators.
-_MAX_PATH = 200
-# A run that has answered for longer than this was not ended by how it began.
-_BLAMED_WITHIN = timedelta(milliseconds=500)
-# What says something of the upstream itself, and not of its queue or of the caller.
+# Paths in crash reports to other gateways and operators are cut to this length.
+_MAX_PATH_CHARACTERS = 200
+# A crash later than this after the start of a response is not attributed to the request.
+_CRASH_WINDOW = timedelta(milliseconds=500)
+# Reasons that show a fault of the upstream itself, as opposed to its queue or the caller.
 _UPSTREAM_FAULTS = frozenset(
     {
         "upstream_unreachable",
@@ -57,16 +57,18 @@
         "not_connected",
     }
 )
-# An upstream that crashes cuts its runs before their answer, or in the middle of it.
-_BROKEN_OFF = frozenset({"upstream_cut", "upstream_error"})
-# For how long an upstream that turned a request away gets no other one, by what it said.
-_RESTS = {
+# Reasons seen when an upstream crashes: its connections end before or within the response.
+_CRASH_REASONS = frozenset({"upstream_cut", "upstream_error"})
+# How long an upstream that rejected a request is avoided, by the reason of the rejection.
+_COOLDOWNS = {
     "upstream_refused": REFUSED_COOLDOWN,
     "upstream_unreachable": UNREACHABLE_COOLDOWN,
     "upstream_replaced": REPLACED_COOLDOWN,
 }
-# What says that an entry is out of date: another upstream is asked at once, and no attempt is spent on it.
-_OUT_OF_DATE = frozenset({"upstream_unreachable", "upstream_replaced"})
+# Reasons that show a stale registration: the request is sent to another upstream without a delay,
+# and the failed attempt does not count against the attempt limit.
+_STALE_REGISTRATION = frozenset({"upstream_unreachable", "upstream_replaced"})
+# Reasons for which an attempt at another upstream could not succeed.
 _FINAL_REASONS = frozenset(
     reason.name
     for reason in (
@@ -81,91 +83,95 @@
 
 
 def is_upstream_fault(outcome: AttemptOutcome) -> bool:
-    """Tell whether an attempt says something against its upstream."""
+    """Return whether an attempt failed through a fault of its upstream."""
     return reason_text(outcome) in _UPSTREAM_FAULTS
 
 
-def is_out_of_date(outcome: AttemptOutcome) -> bool:
-    """Tell whether the upstream of an attempt is not there any more."""
-    return reason_text(outcome) in _OUT_OF_DATE
+def is_stale_registration(outcome: AttemptOutcome) -> bool:
+    """Return whether the upstream of an attempt no longer exists at its registered address."""
+    return reason_text(outcome) in _STALE_REGISTRATION
 
 
-def rest_after(outcome: AttemptOutcome) -> timedelta | None:
-    """Return for how long an upstream that turned a request away rests, None if it did not."""
+def cooldown_after(outcome: AttemptOutcome) -> timedelta | None:
+    """Return how long to avoid an upstream that rejected a request, else None."""
     if not isinstance(outcome, AttemptNotRun):
         return None
-    return _RESTS.get(outcome.reason)
+    return _COOLDOWNS.get(outcome.reason)
 
 
 def may_be_crash(outcome: AttemptOutcome, trace: AttemptTrace, now: timedelta) -> bool:
-    """Tell whether an attempt may have broken off because it crashed its upstream."""
-    if isinstance(outcome, AttemptNotRun) or reason_text(outcome) not in _BROKEN_OFF:
+    """Return whether an attempt may have ended because the request crashed its upstream."""
+    if isinstance(outcome, AttemptNotRun) or reason_text(outcome) not in _CRASH_REASONS:
         return False
-    return trace.answered_at is None or now - trace.answered_at <= _BLAMED_WITHIN
+    return trace.response_started_at is None or now - trace.response_started_at <= _CRASH_WINDOW
 
 
-def broken_run(req: CallerRequest, upstream: str) -> BrokenRun:
-    """Return what is told of a run that broke off."""
-    path = req.path.partition("?")[0][:_MAX_PATH]
+def make_broken_run(req: CallerRequest, upstream: str) -> BrokenRun:
+    """Return the report of a run whose connection ended before its response was complete."""
+    path = req.path.partition("?")[0][:_MAX_PATH_CHARACTERS]
     return BrokenRun(req.fingerprint, req.request_id, req.caller, path, req.service, upstream)
 
 
-def held_refusal(held: Held) -> Refusal:
-    """Return the refusal of a request that is held, with the time of its next trial."""
-    detail = f"{held.crashes} upstreams crashed while they ran it"
-    return Refusal(RefusalReason.HELD, Ran.NO, held.retry_after, detail)
+def hold_refusal(hold: Held) -> Refusal:
+    """Return the refusal of a request in quarantine, with the time until its next trial run."""
+    detail = f"{hold.crashes} upstreams crashed while they ran it"
+    return Refusal(RefusalReason.HELD, Ran.NO, hold.retry_after, detail)
 
 
-def tell_failed(req: CallerRequest, turn: Turn, outcome: AttemptOutcome, now: timedelta) -> None:
-    """Log an attempt that its upstream failed, so that a crash can be traced to the requests that ran there."""
+def log_failed_attempt(
+    req: CallerRequest, reservation: SlotReservation, outcome: AttemptOutcome, now: timedelta
+) -> None:
+    """Log a failed attempt, so that a crash can be traced to the requests that ran there."""
     _LOGGER.info(
         "attempt_failed",
         request_id=req.request_id,
-        host=req.caller,
+        host=req.caller,  # operators know a caller by the name of its host
         path=req.path.partition("?")[0],
         service=req.service,
-        upstream=turn.upstream.peer.vm_id,
+        upstream=reservation.upstream.peer.vm_id,
         reason=reason_text(outcome),
         not_run=isinstance(outcome, AttemptNotRun),
-        ms=in_milliseconds(now - turn.given),
+        ms=in_milliseconds(now - reservation.reserved_at),
     )
 
 
-def with_earlier(refusal: Refusal, earlier: list[AttemptOutcome]) -> Refusal:
-    """Let a refusal speak for the whole request, and not for its last attempt alone.
+def include_earlier_attempts(refusal: Refusal, outcomes: list[AttemptOutcome]) -> Refusal:
+    """Return the refusal for a whole request, given the outcomes of its earlier attempts.
 
-    A repetition that was refused is truly not run; the attempt before it may have been. Told `no`
-    for the last one only, the caller would take as not run what stands in the upstream's books.
+    A refusal of the last attempt says that this attempt was not run. If an earlier attempt may have
+    run, the caller must not read the request as not run, as its effects may exist at the upstream.
     """
     if refusal.ran is not Ran.NO:
         return refusal
-    told = [outcome.ran for outcome in earlier if isinstance(outcome, AttemptUnknown)]
-    if not told:
+    reported = [outcome.ran for outcome in outcomes if isinstance(outcome, AttemptUnknown)]
+    if not reported:
         return refusal
-    return attrs.evolve(refusal, ran=Ran.YES if Ran.YES in told else Ran.UNKNOWN)
+    return attrs.evolve(refusal, ran=Ran.YES if Ran.YES in reported else Ran.UNKNOWN)
 
 
 def is_final(outcome: AttemptOutcome) -> bool:
-    """Tell whether another upstream could not do better."""
+    """Return whether an attempt at another upstream could not succeed."""
     return reason_text(outcome).upper() in _FINAL_REASONS
 
 
 def reason_text(outcome: AttemptOutcome) -> str:
-    """Return the reason of an outcome, an empty text for a whole answer."""
+    """Return the reason of an outcome, an empty string for a complete response."""
     return "" if isinstance(outcome, AttemptDone) else outcome.reason
 
 
-def refusal_of(outcome: AttemptOutcome, hint: timedelta | None) -> Refusal:
-    """Return the final refusal after an outcome; `hint` is when to come back."""
+def make_refusal(outcome: AttemptOutcome, retry_after: timedelta | None) -> Refusal:
+    """Return the final refusal after an outcome; `retry_after` takes precedence over its own."""
     if isinstance(outcome, AttemptNotRun):
-        reason = _reason(outcome.reason, RefusalReason.RETRIES_SPENT)
-        return Refusal(reason, Ran.NO, hint or outcome.retry_after or _RETRY_AFTER, outcome.reason)
+        reason = _refusal_reason(outcome.reason, RefusalReason.RETRIES_SPENT)
+        return Refusal(
+            reason, Ran.NO, retry_after or outcome.retry_after or _RETRY_AFTER, outcome.reason
+        )
     if isinstance(outcome, AttemptUnknown):
-        reason = _reason(outcome.reason, RefusalReason.UPSTREAM_FAILED)
-        return Refusal(reason, outcome.ran, hint, outcome.reason)
+        reason = _refusal_reason(outcome.reason, RefusalReason.UPSTREAM_FAILED)
+        return Refusal(reason, outcome.ran, retry_after, outcome.reason)
     return Refusal(RefusalReason.UPSTREAM_FAILED, Ran.YES, detail=reason_text(outcome), begun=True)
 
 
-def _reason(text: str, default: RefusalReason) -> RefusalReason:
+def _refusal_reason(text: str, default: RefusalReason) -> RefusalReason:
     known = RefusalReason.__members__.get(text.upper())
     return default if known is None else known
--- a/cranberryline/dispatch/repeated.py
+++ b/cranberryline/dispatch/repeated.py
@@ -1,4 +1,4 @@
-"""Send a caller's idempotent request to several upstreams, in turn or beside each other."""
+"""Retry and hedge a caller's idempotent request at several upstreams."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,14 +18,14 @@
 __all__ = ["AttemptSink", "RepeatedRequest"]
 
 STATUS_SERVER_ERROR = 500
-# An upstream that turns a request away has not run it, so that costs no attempt; but a service that
-# turns everything away must end in a refusal.
-_MAX_TURNED_AWAY = 3
-_TURNED_AWAY = (RefusalReason.RETRIES_SPENT, RefusalReason.NO_UPSTREAM)
+# A rejected request was not run, so it does not count as an attempt. This limit ends the request if
+# the service rejects everything.
+_MAX_REJECTIONS = 3
+_REJECTIONS = (RefusalReason.RETRIES_SPENT, RefusalReason.NO_UPSTREAM)
 
 
 class AttemptSink(CollectingSink):
-    """Collect an answer and note who made it, and since when if a clock is given."""
+    """Store a response, its upstream and, if a clock is given, the start of its attempt."""
 
     def __init__(self, clock: Clock | None = None) -> None:
         super().__init__()
@@ -34,17 +34,18 @@
         self._clock = clock
 
     def dispatched(self, upstream: str) -> None:
-        """Note the upstream of the attempt that begins."""
+        """Store the upstream of the attempt and its start time."""
         self.upstream = upstream
         self.sent_at = None if self._clock is None else self._clock.monotonic()
 
 
 @attrs.define
 class RepeatedRequest:
-    """One request until its first good answer, within the upstreams that it may run on.
+    """Run one request until its first successful response.
 
-    A copy goes to a second upstream after `copy_after` without an answer. `failures` counts the upstreams
-    that answered with a failure of their own.
+    At most `max_attempts` attempts may have run it. A hedged copy is sent to a second upstream after
+    `copy_after` without a response. `make` returns the request, given the ids of the upstreams to
+    avoid. `failures` counts the responses with a server error status.
     """
 
     dispatcher: Dispatcher
@@ -58,12 +59,12 @@
     _running: dict[asyncio.Task[Result[str, Refusal]], AttemptSink] = attrs.field(factory=dict)
     _avoid: frozenset[str] = frozenset()
     _may_have_run: int = 0
-    _turned_away: int = 0
-    _failed: AttemptSink | None = None
+    _rejections: int = 0
+    _error_response: AttemptSink | None = None
     _refusal: Refusal | None = None
 
     async def async_run(self) -> Result[AttemptSink, Refusal]:
-        """Return the first answer that is no failure, else the last failure, else the refusal."""
+        """Return the first successful response, else the last server error, else the refusal."""
         try:
             return await self._async_run()
         finally:
@@ -72,7 +73,7 @@
 
     async def _async_run(self) -> Result[AttemptSink, Refusal]:
         self._start()
-        hedged = self.max_attempts < 2  # noqa: PLR2004 - one attempt leaves none for a copy
+        hedged = self.max_attempts < 2  # noqa: PLR2004 - one attempt leaves none to hedge
         while self._running:
             wait = None if hedged else self.copy_after.total_seconds()
             done, _ = await asyncio.wait(
@@ -80,20 +81,21 @@
             )
             if not done:
                 hedged = True
-                if self._may_start() and self._may_copy() and self.budget.spend():
+                if self._may_start() and self._may_hedge() and self.budget.spend():
                     self.metrics.retry("hedge")
                     self._start()
                 continue
             for task in done:
-                answer = self._take(task)
-                if answer is not None:
+                response = self._process_result(task)
+                if response is not None:
                     self.budget.earn()
-                    return Ok(answer)
-            if not self._running and self._may_start() and self._worth_another():
+                    return Ok(response)
+            if not self._running and self._may_start() and self._should_retry():
+                # The label of a retry after an error or rejection.
                 self.metrics.retry("again")
                 self._start()
-        if self._failed is not None:
-            return Ok(self._failed)
+        if self._error_response is not None:
+            return Ok(self._error_response)
         return Err(self._final_refusal())
 
     def _start(self) -> None:
@@ -103,22 +105,25 @@
         self._running[asyncio.ensure_future(work)] = sink
 
     def _may_start(self) -> bool:
-        under_way = len(self._running)
-        return self._may_have_run + under_way < self.max_attempts
+        running = len(self._running)
+        return self._may_have_run + running < self.max_attempts
 
-    def _may_copy(self) -> bool:
-        """Tell whether a copy may go out: beside a run that crashes its upstream it takes another one along."""
+    def _may_hedge(self) -> bool:
+        """Return whether the request may be hedged.
+
+        A copy of a request that crashes its upstream would crash a second one.
+        """
         return not self.dispatcher.suspects(self.make(frozenset()))
 
-    def _worth_another(self) -> bool:
-        """Tell whether another upstream could do better than what came last."""
+    def _should_retry(self) -> bool:
+        """Return whether another upstream could succeed after the latest result."""
         if self._refusal is None:
-            return self._failed is not None
-        if self._turned_away > _MAX_TURNED_AWAY:
+            return self._error_response is not None
+        if self._rejections > _MAX_REJECTIONS:
             return False
-        return self._refusal.ran is not Ran.NO or self._refusal.reason in _TURNED_AWAY
+        return self._refusal.ran is not Ran.NO or self._refusal.reason in _REJECTIONS
 
-    def _take(self, task: "asyncio.Task[Result[str, Refusal]]") -> AttemptSink | None:
+    def _process_result(self, task: "asyncio.Task[Result[str, Refusal]]") -> AttemptSink | None:
         sink = self._running.pop(task)
         if sink.upstream:
             self._avoid |= {sink.upstream}
@@ -128,17 +133,17 @@
             if sink.status < STATUS_SERVER_ERROR:
                 return sink
             self.failures += 1
-            self._failed, self._refusal = sink, None
+            self._error_response, self._refusal = sink, None
             return None
         refusal = outcome.unwrap_err()
         if refusal.ran is Ran.NO:
-            self._turned_away += 1
+            self._rejections += 1
         else:
             self._may_have_run += 1
         self._refusal = refusal
         return None
 
     def _final_refusal(self) -> Refusal:
-        """Return the refusal for all attempts."""
+        """Return the refusal for the request as a whole."""
         refusal = self._refusal or Refusal(RefusalReason.NO_UPSTREAM)
         return refusal.behind_runs(self._may_have_run > 0)
--- a/cranberryline/dispatch/upstreams.py
+++ b/cranberryline/dispatch/upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams that an entry can send work to, and what it has seen of each."""
+"""The upstreams that this process can send requests to, with the state it keeps of each."""
 
 from datetime import timedelta
 
@@ -12,63 +12,64 @@
 __all__ = ["PeerTable", "Upstream"]
 
 _HEALTH = HealthPolicy()
-# Twice the interval of reports on a connection with work. One without is probed so seldom that
-# other entries' work of that time may be long over; the side process queues what comes too early.
-_REPORT_COUNTS = 2 * HEARTBEAT_BUSY
+# Twice the interval of load reports on a busy connection. On an idle connection reports are so rare
+# that the requests of other entries they show may have ended long ago. If those still run, the side
+# process queues what is sent in the meantime.
+_MAX_LOAD_REPORT_AGE = 2 * HEARTBEAT_BUSY
 
 
 @attrs.define(eq=False)
 class Upstream:
-    """A way to an upstream, with this entry's measurements of it."""
+    """An upstream, its link, and its slots, token rate and health as tracked by this process."""
 
     peer: UpstreamLink
     data_center: str
-    pace: RateMeter = attrs.field(factory=RateMeter)
+    token_rate: RateMeter = attrs.field(factory=RateMeter)
     health: HealthState = attrs.field(factory=HealthState)
-    _turns: int = 0
-    _rests_until: timedelta = timedelta()
+    _reserved_slots: int = 0
+    _cooldown_until: timedelta = timedelta()
 
-    def has_room(self, spec: ServiceSpec, now: timedelta) -> bool:
-        """Tell whether one more request would find a free place, as far as this entry knows.
+    def has_free_slot(self, spec: ServiceSpec, now: timedelta) -> bool:
+        """Return whether a slot is free for one more request, as far as this process knows.
 
-        The side process's report lags by up to a heartbeat, so own work counts first; what other
-        entries run there is the report less the own work that it includes.
+        The load report is up to one heartbeat interval old, so own requests are counted locally.
+        Those of other entries are the reported requests minus the own ones included in the report.
         """
         return self._own_requests() < spec.concurrency - self._others_requests(now)
 
-    def places(self, spec: ServiceSpec, now: timedelta) -> int:
-        """Return how many requests this entry may have there: its own and the free places."""
+    def usable_slots(self, spec: ServiceSpec, now: timedelta) -> int:
+        """Return how many slots this process can use: those it already uses and the free ones."""
         return max(self._own_requests(), spec.concurrency - self._others_requests(now))
 
-    def begin(self, now: timedelta) -> None:
-        """Note that work goes there."""
-        self._turns += 1
+    def reserve(self, now: timedelta) -> None:
+        """Reserve a slot for a request; the request may serve as a health probe."""
+        self._reserved_slots += 1
         if _HEALTH.view(self.health, now).probe_due:
             self.health = _HEALTH.probed(self.health, now)
 
-    def end(self, tokens: int, spent: timedelta, now: timedelta) -> None:
-        """Note that an attempt is over, with the tokens that it brought in the time spent."""
-        self._turns -= 1
-        self.pace.record(tokens, spent, now)
+    def complete(self, tokens: int, duration: timedelta, now: timedelta) -> None:
+        """Release the slot of an attempt that ended, and record its tokens and duration."""
+        self._reserved_slots -= 1
+        self.token_rate.record(tokens, duration, now)
 
     def release(self) -> None:
-        """Note that the work of a turn did not go there."""
-        self._turns -= 1
+        """Release a slot to which no request was sent."""
+        self._reserved_slots -= 1
 
-    def succeeded(self) -> None:
-        """Note a whole answer."""
+    def response_completed(self) -> None:
+        """Record a complete response."""
         self.health = _HEALTH.succeeded(self.health)
 
-    def failed(self, sent: timedelta, now: timedelta) -> None:
-        """Note a failure of the upstream itself, and when the work had been sent there."""
-        self.health = _HEALTH.failed(self.health, now, sent)
+    def attempt_failed(self, sent_at: timedelta, now: timedelta) -> None:
+        """Record a fault of the upstream in an attempt that started at `sent_at`."""
+        self.health = _HEALTH.failed(self.health, now, sent_at)
 
-    def turned_away(self, rest: timedelta, now: timedelta) -> None:
-        """Note that it did not run what was sent there: it gets nothing else for a while if others can."""
-        self._rests_until = max(self._rests_until, now + rest)
+    def request_rejected(self, cooldown: timedelta, now: timedelta) -> None:
+        """Record that the upstream rejected a request; others are preferred for `cooldown`."""
+        self._cooldown_until = max(self._cooldown_until, now + cooldown)
 
     def view(self, spec: ServiceSpec, now: timedelta) -> UpstreamView:
-        """Return what routing needs to know."""
+        """Return the state of the upstream for routing."""
         load = self.peer.load
         return UpstreamView(
             id=self.peer.vm_id,
@@ -79,49 +80,49 @@
             reported_requests=0 if load is None else load.running + load.queued,
             reported_tokens=0 if load is None else load.queued_tokens,
             report_age=None if load is None else now - self.peer.load_at,
-            tokens_per_second=self.pace.tokens_per_second(now),
+            tokens_per_second=self.token_rate.tokens_per_second(now),
             weight_version=None if load is None else load.weight_version,
             health=_HEALTH.view(self.health, now),
             draining=self.peer.draining,
             connected=self.peer.connected,
-            recently_refused=now < self._rests_until,
+            recently_refused=now < self._cooldown_until,
         )
 
     def _own_requests(self) -> int:
-        """Count turns as soon as they are given: their requests leave a moment later."""
-        return max(self.peer.outstanding, self._turns)
+        """Return the own requests; reservations count before their requests are sent."""
+        return max(self.peer.outstanding, self._reserved_slots)
 
     def _others_requests(self, now: timedelta) -> int:
         load = self.peer.load
-        if load is None or now - self.peer.load_at > _REPORT_COUNTS:
+        if load is None or now - self.peer.load_at > _MAX_LOAD_REPORT_AGE:
             return 0
         return max(0, load.running + load.queued - self.peer.outstanding_at_load)
 
 
 class PeerTable:
-    """All ways to upstreams, by VM and by service."""
+    """The upstreams of each service, by VM id."""
 
     def __init__(self) -> None:
         self._by_service: dict[str, dict[str, Upstream]] = {}
 
     def add(self, service: str, peer: UpstreamLink, data_center: str) -> None:
-        """Add a connection to an upstream of a service."""
-        members = self._by_service.setdefault(service, {})
-        members[peer.vm_id] = Upstream(peer, data_center)
+        """Add an upstream of a service, or replace the one with the same VM id."""
+        upstreams = self._by_service.setdefault(service, {})
+        upstreams[peer.vm_id] = Upstream(peer, data_center)
 
     def remove(self, vm_id: str) -> None:
-        """Forget a connection."""
-        for members in self._by_service.values():
-            members.pop(vm_id, None)
+        """Remove an upstream from all services."""
+        for upstreams in self._by_service.values():
+            upstreams.pop(vm_id, None)
 
     def usable(self, service: str) -> list[Upstream]:
-        """Return the upstreams of a service that take new work."""
+        """Return the upstreams of a service that accept new requests."""
         return [up for up in self._by_service.get(service, {}).values() if up.peer.usable]
 
     def get(self, service: str, vm_id: str) -> Upstream | None:
-        """Return an upstream of a service."""
+        """Return an upstream of a service, None if it is not in the table."""
         return self._by_service.get(service, {}).get(vm_id)
 
     def all(self) -> list[UpstreamLink]:
-        """Return every connection."""
-        return [up.peer for members in self._by_service.values() for up in members.values()]
+        """Return the links to all upstreams."""
+        return [up.peer for upstreams in self._by_service.values() for up in upstreams.values()]
--- a/tests/dispatch/conftest.py
+++ b/tests/dispatch/conftest.py
@@ -1,4 +1,4 @@
-"""Fakes at the edge of the entry: a side process that answers as told, without sockets."""
+"""Test harness: a dispatcher over fake side processes with scripted responses, without sockets."""
 
 import itertools
 from collections.abc import Callable
@@ -31,23 +31,23 @@
 Script = Callable[["FakeSide", Exchange, Submit], None]
 
 
-def answer(side: "FakeSide", exchange: Exchange, msg: Submit) -> None:
-    """Answer at once with the whole body back."""
+def echo_response(side: "FakeSide", exchange: Exchange, msg: Submit) -> None:
+    """Respond immediately and echo the request's body."""
     exchange.push(Head(msg.id, 200, ()))
     exchange.push(Chunk(msg.id, 0, msg.body))
     exchange.push(End(msg.id, 1))
 
 
-def silent(side: "FakeSide", exchange: Exchange, msg: Submit) -> None:
-    """Answer nothing."""
+def no_response(side: "FakeSide", exchange: Exchange, msg: Submit) -> None:
+    """Send no response."""
 
 
 class FakeSide:
-    """Stand for one connection to a side process."""
+    """Fake of a connection to a side process; `script` responds to each request."""
 
     _ids = itertools.count(1)
 
-    def __init__(self, vm_id: str, script: Script = answer) -> None:
+    def __init__(self, vm_id: str, script: Script = echo_response) -> None:
         self.vm_id = vm_id
         self.script = script
         self.usable = True
@@ -99,7 +99,7 @@
         self._exchanges.pop(request_id, None)
 
     def cancelled(self) -> bool:
-        """Tell whether a run was stopped."""
+        """Return whether a run was cancelled."""
         return any(isinstance(msg, Cancel) for msg in self.sent)
 
 
@@ -118,29 +118,29 @@
         self.publish("service", self.service, {"type": "plain", "concurrency": 2, **spec})
 
     def delete(self, kind: Kind, name: str) -> None:
-        """Fold the deletion of a record."""
+        """Apply the deletion of a record to the configuration."""
         self.publish(kind.value, name, None, self.fold.current_revision(kind, name))
 
     def publish(self, kind: str, name: str, spec: dict[str, Any] | None, amends: int = 0) -> None:
-        """Fold a record at the next offset."""
+        """Apply a record to the configuration at the next offset."""
         offset = self.fold.offset + 1
         data = {"kind": kind, "name": name, "schema": 1, "amends": amends, "spec": spec}
         record = LogRecord(offset, datetime(2026, 1, 1, tzinfo=UTC), f"r{offset}", data)
         self.fold.apply(record).unwrap()
 
     def publish_again(self, **spec: Any) -> None:
-        """Amend the service's record."""
+        """Amend the service's record in the configuration."""
         amends = self.fold.offset
         self.publish("service", self.service, {"type": "plain", "concurrency": 2, **spec}, amends)
 
-    def side(self, vm_id: str, script: Script = answer) -> FakeSide:
-        """Connect a side process."""
+    def side(self, vm_id: str, script: Script = echo_response) -> FakeSide:
+        """Add an upstream with a fake side process."""
         side = FakeSide(vm_id, script)
         self.table.add(self.service, side, "levis")  # type: ignore[arg-type]
         return side
 
-    def request(self, **change: Any) -> CallerRequest:
-        """Return a request with a second to its deadline."""
+    def request(self, **overrides: Any) -> CallerRequest:
+        """Return a request whose deadline is in one second."""
         fields = {
             "service": self.service,
             "method": "GET",
@@ -150,12 +150,12 @@
             "deadline": self.clock.monotonic() + timedelta(seconds=1),
             "caller": "inspecteur",
             "caller_class": CallerClass.APPLICATION,
-            **change,
+            **overrides,
         }
         return CallerRequest(**fields)
 
 
 @pytest.fixture
-def bench() -> Bench:
+def harness() -> Bench:
     """Return a dispatcher whose service runs two requests at a time on each upstream."""
     return Bench(SystemClock())
--- a/tests/dispatch/test_direct.py
+++ b/tests/dispatch/test_direct.py
@@ -1,4 +1,4 @@
-"""Requests to an upstream without a side process: what callers are told, what the upstream sees."""
+"""Requests over direct links: results for callers, and the requests that upstreams receive."""
 
 import asyncio
 import itertools
@@ -29,140 +29,147 @@
 
 from .conftest import Bench
 
-_SOON = timedelta(seconds=5)
-_CUT_OFF = PlatformError(PlatformReason.CUT, may_have_run=True)
+_DEFAULT_TIMEOUT = timedelta(seconds=5)
+_CUT = PlatformError(PlatformReason.CUT, may_have_run=True)
 _UNREACHABLE = PlatformError(PlatformReason.UNREACHABLE, may_have_run=False)
 
 
-class Direct:
-    """A dispatcher whose upstreams are reached directly, over fakes of the upstreams and the log."""
+class DirectHarness:
+    """A dispatcher with direct links to fake upstreams and a scripted log."""
 
-    def __init__(self, bench: Bench) -> None:
-        self.bench = bench
+    def __init__(self, harness: Bench) -> None:
+        self.harness = harness
         self.log = ScriptedLog(FakeClock())
         self.log.script = []
         self.upstreams: dict[str, FakeUpstream] = {}
-        self.made = DirectUpstreams(
-            bench.clock,
-            bench.metrics,
+        self.direct_links = DirectUpstreams(
+            harness.clock,
+            harness.metrics,
             self.log,
             "life-1",
             itertools.count(1).__next__,
-            bench.fold.service,
-            bench.dispatcher.wake,
-            lambda row: self.upstreams[row.address],
+            harness.fold.service,
+            harness.dispatcher.wake,
+            lambda vm: self.upstreams[vm.address],
         )
 
     def add(self, vm_id: str) -> tuple[DirectUpstream, FakeUpstream]:
-        """Reach one more upstream."""
+        """Add an upstream with a direct link."""
         upstream = self.upstreams[address_of(vm_id)] = FakeUpstream()
-        link = self.made.make(direct_row(vm_id, self.bench.service))
-        self.bench.table.add(self.bench.service, link, "levis")
+        link = self.direct_links.make(direct_vm(vm_id, self.harness.service))
+        self.harness.table.add(self.harness.service, link, "levis")
         return link, upstream
 
-    async def async_ask(self, sink: CollectingSink | None = None, **change: Any) -> Any:
-        """Run a request to its end."""
-        req = self.bench.request(**{"deadline": self.bench.clock.monotonic() + _SOON, **change})
-        return await self.bench.dispatcher.async_run(req, sink or CollectingSink())
+    async def async_run_request(self, sink: CollectingSink | None = None, **overrides: Any) -> Any:
+        """Run a request to its end; its deadline is in five seconds by default."""
+        req = self.harness.request(
+            **{"deadline": self.harness.clock.monotonic() + _DEFAULT_TIMEOUT, **overrides}
+        )
+        return await self.harness.dispatcher.async_run(req, sink or CollectingSink())
 
 
 def address_of(vm_id: str) -> str:
-    """Return an upstream's own address."""
+    """Return the address of an upstream."""
     return f"http://{vm_id}"
 
 
-def direct_row(vm_id: str, service: str) -> VmEntry:
-    """Return the row of an upstream without a side process."""
+def direct_vm(vm_id: str, service: str) -> VmEntry:
+    """Return the VM entry of an upstream without a side process."""
     return VmEntry(vm_id, VmRole.UPSTREAM, VmState.LIVE, "levis", "", address_of(vm_id), service)
 
 
 async def async_until(condition: Callable[[], bool]) -> None:
-    """Wait until something is so."""
+    """Wait up to five seconds until a condition is true."""
     async with asyncio.timeout(5):
         while not condition():  # noqa: ASYNC110 - fakes have no event to wait for
             await asyncio.sleep(0.001)
 
 
-def play(coro: Coroutine[Any, Any, None]) -> None:
-    """Run a test's coroutine."""
+def run_test(coro: Coroutine[Any, Any, None]) -> None:
+    """Run the coroutine of a test."""
     asyncio.run(coro)
 
 
 @pytest.fixture
-def direct(bench: Bench) -> Direct:
-    """Return a dispatcher without upstreams yet."""
-    return Direct(bench)
+def direct(harness: Bench) -> DirectHarness:
+    """Return a dispatcher without upstreams."""
+    return DirectHarness(harness)
 
 
-def test_a_whole_answer_reaches_the_caller(direct: Direct) -> None:
-    """The caller gets the upstream's answer, part by part, and nothing stays outstanding."""
+def test_complete_response_reaches_the_caller(direct: DirectHarness) -> None:
+    """The response arrives incomplete, or the request stays counted as outstanding after it."""
 
     async def async_main() -> None:
         link, upstream = direct.add("up-1")
         upstream.parts = [b"who", b"le"]
         sink = CollectingSink()
-        result = await direct.async_ask(sink)
+        result = await direct.async_run_request(sink)
         assert result.unwrap() == "up-1"
         assert (sink.status, sink.body) == (200, b"whole")
         assert (link.outstanding, link.outstanding_tokens) == (0, 0)
 
-    play(async_main())
+    run_test(async_main())
 
 
-def test_an_answer_larger_than_the_window_comes_whole(direct: Direct) -> None:
-    """The entry grants itself more as the caller reads, as it would a side process."""
+def test_response_larger_than_the_flow_control_window_is_complete(direct: DirectHarness) -> None:
+    """The response stalls, because a direct link grants no credit while the caller reads."""
 
     async def async_main() -> None:
         _, upstream = direct.add("up-1")
         upstream.parts = [bytes([n]) * 65536 for n in range(40)]
         sink = CollectingSink()
-        assert (await direct.async_ask(sink)).is_ok()
+        assert (await direct.async_run_request(sink)).is_ok()
         assert sink.body == b"".join(upstream.parts)
 
-    play(async_main())
+    run_test(async_main())
 
 
-def test_an_unreachable_upstream_is_vouched_for_and_another_one_runs(direct: Direct) -> None:
-    """No byte was sent, so even a call that must not run twice goes to the other upstream."""
+def test_request_to_an_unreachable_upstream_runs_at_another_one(direct: DirectHarness) -> None:
+    """A non-idempotent call fails although no byte was sent and another upstream could run it."""
 
     async def async_main() -> None:
-        _, dead = direct.add("up-1")
-        _, good = direct.add("up-2")
-        dead.error = _UNREACHABLE
+        _, unreachable = direct.add("up-1")
+        _, reachable = direct.add("up-2")
+        unreachable.error = _UNREACHABLE
         for _ in range(6):
-            result = await direct.async_ask(method="POST", idempotent=False)
+            result = await direct.async_run_request(method="POST", idempotent=False)
             assert result.unwrap() == "up-2"
-        assert len(good.runs) == 6
+        assert len(reachable.runs) == 6
 
-    play(async_main())
+    run_test(async_main())
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_an_upstream_lost_in_a_run_is_told_truthfully(direct: Direct, idempotent: bool) -> None:
-    """The upstream dies after bytes were sent: `unknown`, and only the repeatable is repeated."""
+def test_request_cut_after_it_was_sent_is_reported_as_unknown(
+    direct: DirectHarness, idempotent: bool
+) -> None:
+    """The upstream fails after it was sent a request, which may have run.
+
+    The caller reads that it was not run, or a non-idempotent request is run twice.
+    """
 
     async def async_main() -> None:
-        tries: list[str] = []
+        attempts: list[str] = []
         for vm_id in ("up-1", "up-2"):
             _, upstream = direct.add(vm_id)
-            upstream.async_send = _lose_noting(tries, vm_id)  # type: ignore[method-assign]
-        refusal = (await direct.async_ask(idempotent=idempotent)).unwrap_err()
+            upstream.async_send = _cut_and_record(attempts, vm_id)  # type: ignore[method-assign]
+        refusal = (await direct.async_run_request(idempotent=idempotent)).unwrap_err()
         assert refusal.ran is Ran.UNKNOWN
-        assert (len(tries) == 1) is not idempotent
+        assert (len(attempts) == 1) is not idempotent
 
-    play(async_main())
+    run_test(async_main())
 
 
-def _lose_noting(tries: list[str], vm_id: str) -> Callable[..., Any]:
+def _cut_and_record(attempts: list[str], vm_id: str) -> Callable[..., Any]:
     async def async_send(*_: Any) -> Any:
-        tries.append(vm_id)
-        return Err(_CUT_OFF)
+        attempts.append(vm_id)
+        return Err(_CUT)
 
     return async_send
 
 
-def test_a_cut_answer_is_an_error(direct: Direct) -> None:
-    """A caller that has a part of a cut answer is told that it ran and broke."""
+def test_cut_response_is_reported_as_run_and_started(direct: DirectHarness) -> None:
+    """A caller that received a part of a response treats it as complete, or retries the call."""
 
     class _CallerSink(CollectingSink):
         can_restart = False
@@ -170,98 +177,100 @@
     async def async_main() -> None:
         _, upstream = direct.add("up-1")
         upstream.cut = True
-        refusal = (await direct.async_ask(_CallerSink(), idempotent=False)).unwrap_err()
+        refusal = (await direct.async_run_request(_CallerSink(), idempotent=False)).unwrap_err()
         assert (refusal.ran, refusal.begun) == (Ran.YES, True)
 
-    play(async_main())
+    run_test(async_main())
 
 
-def test_a_call_that_is_not_stopped_keeps_its_place(direct: Direct) -> None:
-    """The caller of a non-idempotent call gives up; the upstream goes on, and so counts as taken.
+def test_non_idempotent_call_keeps_its_slot_after_its_caller_left(direct: DirectHarness) -> None:
+    """An upstream gets more requests than its concurrency, or the queue is not woken later.
 
-    First the caller is told `unknown`, for the run had begun. What is sent meanwhile waits for the
-    place, and gets it as soon as the run is over, with nobody else to wake the queue.
+    The caller of a non-idempotent call disconnects while the upstream still runs it. A request sent
+    in the meantime must wait for the slot, and start when the run ends without any other event.
     """
-    direct.bench.publish_again(concurrency=1)
+    direct.harness.publish_again(concurrency=1)
 
     async def async_main() -> None:
         link, upstream = direct.add("up-1")
         upstream.gate.clear()
-        soon = direct.bench.clock.monotonic() + timedelta(milliseconds=300)
-        first = asyncio.ensure_future(direct.async_ask(method="POST", idempotent=False))
+        soon = direct.harness.clock.monotonic() + timedelta(milliseconds=300)
+        first = asyncio.ensure_future(direct.async_run_request(method="POST", idempotent=False))
         await async_until(lambda: len(upstream.runs) == 1)
         first.cancel()
         await asyncio.gather(first, return_exceptions=True)
         assert link.outstanding == 1
-        late = await direct.async_ask(deadline=soon)
+        late = await direct.async_run_request(deadline=soon)
         assert (late.unwrap_err().ran, len(upstream.runs)) == (Ran.NO, 1)
-        second = asyncio.ensure_future(direct.async_ask())
+        second = asyncio.ensure_future(direct.async_run_request())
         await asyncio.sleep(0.05)
         assert len(upstream.runs) == 1
         upstream.gate.set()
         assert (await second).is_ok()
         assert link.outstanding == 0
 
-    play(async_main())
+    run_test(async_main())
 
 
-def test_an_idempotent_run_is_stopped_when_its_caller_leaves(direct: Direct) -> None:
-    """Nobody awaits the answer, so the place is free at once."""
+def test_idempotent_run_is_cancelled_when_its_caller_disconnects(direct: DirectHarness) -> None:
+    """The run continues, and keeps its slot, although nobody awaits the response."""
 
     async def async_main() -> None:
         link, upstream = direct.add("up-1")
         upstream.gate.clear()
-        asked = asyncio.ensure_future(direct.async_ask())
+        task = asyncio.ensure_future(direct.async_run_request())
         await async_until(lambda: len(upstream.bodies) == 1)
-        asked.cancel()
-        await asyncio.gather(asked, return_exceptions=True)
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
         await async_until(lambda: link.outstanding == 0)
         assert upstream.bodies[0].closed
 
-    play(async_main())
+    run_test(async_main())
 
 
-def test_a_keyed_call_is_claimed_on_the_log(direct: Direct) -> None:
-    """The second call of a key gets the first one's answer, and the upstream has one run."""
+def test_second_call_with_an_idempotency_key_gets_the_stored_response(
+    direct: DirectHarness,
+) -> None:
+    """A repeated call with the same idempotency key is run again instead of being replayed."""
 
     async def async_main() -> None:
         _, upstream = direct.add("up-1")
         keyed = {"method": "POST", "idempotent": False, "key": "booking-1"}
         first, second = CollectingSink(), CollectingSink()
-        assert (await direct.async_ask(first, **keyed)).is_ok()
-        assert (await direct.async_ask(second, **keyed)).is_ok()
+        assert (await direct.async_run_request(first, **keyed)).is_ok()
+        assert (await direct.async_run_request(second, **keyed)).is_ok()
         assert (first.body, second.body) == (b"whole", b"whole")
         assert len(upstream.runs) == 1
-        await direct.made.async_stop()
+        await direct.direct_links.async_stop()
 
-    play(async_main())
+    run_test(async_main())
 
 
-def test_a_keyed_call_is_refused_while_the_log_is_out(direct: Direct) -> None:
-    """Without the log there is no claim, and without a claim no run."""
+def test_call_with_an_idempotency_key_is_refused_without_the_log(direct: DirectHarness) -> None:
+    """The log is unavailable, and the call runs without a claim on its idempotency key."""
 
     async def async_main() -> None:
         _, upstream = direct.add("up-1")
         direct.log.script = ["refused"] * 10
-        result = await direct.async_ask(method="POST", idempotent=False, key="booking-1")
+        result = await direct.async_run_request(method="POST", idempotent=False, key="booking-1")
         refusal = result.unwrap_err()
         assert (refusal.reason, refusal.ran) == (RefusalReason.LOG_UNAVAILABLE, Ran.NO)
         assert upstream.runs == []
 
-    play(async_main())
+    run_test(async_main())
 
 
-def test_a_planned_stop_waits_for_what_runs(direct: Direct) -> None:
-    """The stop ends after the run that its caller left, not before, and nothing new begins."""
+def test_planned_shutdown_waits_for_a_run_without_a_caller(direct: DirectHarness) -> None:
+    """The shutdown cuts a run whose caller has disconnected, or a new request starts during it."""
 
     async def async_main() -> None:
         link, upstream = direct.add("up-1")
         upstream.gate.clear()
-        asked = asyncio.ensure_future(direct.async_ask(method="POST", idempotent=False))
+        task = asyncio.ensure_future(direct.async_run_request(method="POST", idempotent=False))
         await async_until(lambda: len(upstream.bodies) == 1)
-        asked.cancel()
-        await asyncio.gather(asked, return_exceptions=True)
-        stop = asyncio.ensure_future(direct.made.async_stop())
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+        stop = asyncio.ensure_future(direct.direct_links.async_stop())
         await asyncio.sleep(0.02)
         assert not stop.done()
         assert not link.usable
@@ -269,15 +278,16 @@
         await asyncio.wait_for(stop, 2)
         assert upstream.bodies[0].closed
 
-    play(async_main())
+    run_test(async_main())
 
 
-def test_the_list_decides_how_an_upstream_is_reached(direct: Direct) -> None:
-    """An empty peer means directly; a side process that appears is dialled in its place.
+def test_member_list_selects_direct_link_or_side_process(direct: DirectHarness) -> None:
+    """The link to an upstream does not match its entry in the member list.
 
-    What runs directly at that moment goes on to its end, and a stop still waits for it.
+    An empty `peer` means a direct link. When a side process is added, a connection to it replaces
+    the direct link, which accepts no new requests while its running ones finish.
     """
-    bench = direct.bench
+    harness = direct.harness
     direct.upstreams[address_of("up-1")] = FakeUpstream()
 
     async def async_main() -> None:
@@ -291,69 +301,69 @@
                 itertools.count(1).__next__,
             ),
             DialerEvents(),
-            bench.table,
+            harness.table,
             Metrics(),
-            direct.made,
+            direct.direct_links,
         )
-        members, row = Membership(), direct_row("up-1", bench.service)
-        members.apply_list(VmList(1, (row,)))
+        members, vm = Membership(), direct_vm("up-1", harness.service)
+        members.apply_list(VmList(1, (vm,)))
         links.apply(members)
         first = links.get("up-1")
         assert isinstance(first, DirectUpstream)
         assert (first.usable, links.connected()) == (True, [])
         links.apply(members)
         assert links.get("up-1") is first
-        members.apply_list(VmList(2, (attrs.evolve(row, peer="tcp://127.0.0.1:9"),)))
+        members.apply_list(VmList(2, (attrs.evolve(vm, peer="tcp://127.0.0.1:9"),)))
         links.apply(members)
         assert isinstance(links.get("up-1"), Dialer)
         assert not first.usable
-        members.apply_list(VmList(3, (row,)))
+        members.apply_list(VmList(3, (vm,)))
         links.apply(members)
         assert isinstance(links.get("up-1"), DirectUpstream)
-        members.apply_list(VmList(4, (attrs.evolve(row, state=VmState.LEAVING),)))
+        members.apply_list(VmList(4, (attrs.evolve(vm, state=VmState.LEAVING),)))
         links.apply(members)
         assert links.get("up-1") is None
-        assert bench.table.usable(bench.service) == []
+        assert harness.table.usable(harness.service) == []
         await links.async_close()
         ctx.destroy(linger=0)
 
-    play(async_main())
+    run_test(async_main())
 
 
-def test_concurrency_follows_the_configuration(direct: Direct) -> None:
-    """A revision of the service changes how many run at once."""
+def test_changed_concurrency_is_applied_to_existing_links(direct: DirectHarness) -> None:
+    """A changed concurrency in the configuration does not reach the links that exist."""
     link, _ = direct.add("up-1")
     assert link.runner.concurrency == 2
-    direct.bench.publish_again(concurrency=5)
-    direct.made.on_revision()
+    direct.harness.publish_again(concurrency=5)
+    direct.direct_links.on_revision()
     assert link.runner.concurrency == 5
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-@pytest.mark.parametrize("begun", [True, False])
-def test_what_runs_at_an_upstream_that_is_no_more_is_decided_at_once(
-    direct: Direct, idempotent: bool, begun: bool
+@pytest.mark.parametrize("started", [True, False])
+def test_requests_at_a_replaced_upstream_end_immediately(
+    direct: DirectHarness, idempotent: bool, started: bool
 ) -> None:
-    """The upstream has started again; its former start's connection stays open and silent.
+    """The upstream's process was replaced, and the connection to the old one stays open and silent.
 
-    Told by the time limit, the caller waits for five seconds. A call that may be repeated goes to
-    another upstream now; the other kind is told as unknown now. So it is for one that this entry was
-    just about to send, of which no step had run yet.
+    Without the abort, the caller waits until its deadline of five seconds. An idempotent request
+    must go to another upstream, and a non-idempotent one must end as unknown, within half a second.
+    This includes a request whose sending has not started yet.
     """
 
     async def async_main() -> None:
         link, upstream = direct.add("up-1")
         upstream.gate.clear()
-        asked = asyncio.ensure_future(direct.async_ask(idempotent=idempotent))
-        while not (upstream.bodies if begun else link.outstanding):  # noqa: ASYNC110 - single turns
+        task = asyncio.ensure_future(direct.async_run_request(idempotent=idempotent))
+        while not (upstream.bodies if started else link.outstanding):  # noqa: ASYNC110 - loop steps
             await asyncio.sleep(0)
-        assert begun == bool(upstream.runs)
+        assert started == bool(upstream.runs)
         _, other = direct.add("up-2")
-        direct.bench.table.remove("up-1")
-        direct.made.retire(link)
-        direct.made.end("up-1")
+        direct.harness.table.remove("up-1")
+        direct.direct_links.retire(link)
+        direct.direct_links.end("up-1")
         async with asyncio.timeout(0.5):
-            result = await asked
+            result = await task
         if idempotent:
             assert result.unwrap() == "up-2" and len(other.runs) == 1
         else:
@@ -362,26 +372,26 @@
         assert link.outstanding == 0
         assert all(body.closed for body in upstream.bodies)
 
-    play(async_main())
+    run_test(async_main())
 
 
-def test_an_upstream_that_left_long_ago_is_still_ended(direct: Direct) -> None:
-    """It drains with a run under way, and many others come and go before its next start."""
+def test_requests_at_a_link_removed_long_ago_are_still_aborted(direct: DirectHarness) -> None:
+    """A draining link with a running request is dropped while many others come and go."""
 
     async def async_main() -> None:
         link, upstream = direct.add("up-0")
         upstream.gate.clear()
-        asked = asyncio.ensure_future(direct.async_ask(idempotent=False))
+        task = asyncio.ensure_future(direct.async_run_request(idempotent=False))
         await async_until(lambda: bool(upstream.bodies))
-        direct.bench.table.remove("up-0")
-        direct.made.retire(link)
+        direct.harness.table.remove("up-0")
+        direct.direct_links.retire(link)
         for number in range(1, 9):
-            gone, _ = direct.add(f"up-{number}")
-            direct.bench.table.remove(f"up-{number}")
-            direct.made.retire(gone)
-        assert len(direct.made._links) < 9
-        direct.made.end("up-0")
+            removed, _ = direct.add(f"up-{number}")
+            direct.harness.table.remove(f"up-{number}")
+            direct.direct_links.retire(removed)
+        assert len(direct.direct_links._links) < 9
+        direct.direct_links.end("up-0")
         async with asyncio.timeout(0.5):
-            assert (await asked).unwrap_err().ran is not Ran.NO
+            assert (await task).unwrap_err().ran is not Ran.NO
 
-    play(async_main())
+    run_test(async_main())
--- a/tests/dispatch/test_guard.py
+++ b/tests/dispatch/test_guard.py
@@ -1,4 +1,4 @@
-"""What the dispatcher tells of runs that broke off, and how it asks before it sends."""
+"""The dispatcher's use of the quarantine: crash reports, and checks before sending."""
 
 import asyncio
 from datetime import timedelta
@@ -19,67 +19,67 @@
 
 @attrs.define
 class _Guard(RequestGuard):
-    """Hold after so many broken runs, and note what is told."""
+    """Fake guard that holds all requests after `holds_after` broken runs, and records its calls."""
 
     has_suspects = True
     holds_after: int = 100
     trials: int = 0
     broken: list[BrokenRun] = attrs.field(factory=list)
-    answers: list[str] = attrs.field(factory=list)
+    cleared: list[str] = attrs.field(factory=list)
 
     def is_suspected(self, request: str) -> bool:
-        """Suspect every request."""
+        """Return true: every request is suspected."""
         return True
 
     def held(self, request: str) -> Held | None:
-        """Hold every request alike."""
+        """Return the hold of any request once there are enough broken runs."""
         if len(self.broken) < self.holds_after:
             return None
         return Held(len(self.broken), timedelta(seconds=7))
 
     async def async_claim_trial(self, request: str) -> bool:
-        """Give the trials that are left."""
+        """Grant the remaining trial runs."""
         self.trials -= 1
         return self.trials >= 0
 
     async def async_report_broken_run(self, run: BrokenRun) -> None:
-        """Note a broken run."""
+        """Record a broken run."""
         self.broken.append(run)
 
     def record_answer(self, request: str) -> None:
-        """Note an answer."""
-        self.answers.append(request)
+        """Record a successful response."""
+        self.cleared.append(request)
 
 
-def _guarded(bench: Bench, **fields: int) -> _Guard:
+def _guarded(harness: Bench, **fields: int) -> _Guard:
     guard = _Guard(**fields)
-    bench.dispatcher._guard = guard
+    harness.dispatcher._guard = guard
     return guard
 
 
-def _fails(
-    reason: str, clock: FakeClock | None = None, answered_for_ms: int | None = None
+def _failing_script(
+    reason: str, clock: FakeClock | None = None, failed_after_ms: int | None = None
 ) -> Script:
-    """Return a side that breaks off, before its answer or so long after it has begun."""
+    """Return a script that fails before the response, or the given time after its start."""
 
     def script(side: FakeSide, exchange: Exchange, msg: Submit) -> None:
-        if answered_for_ms is None or clock is None:
+        if failed_after_ms is None or clock is None:
             exchange.push(Failed(msg.id, reason, "unknown"))
             return
         exchange.push(Head(msg.id, 200, ()))
         exchange.push(Chunk(msg.id, 0, b"who"))
 
-        def end() -> None:
-            clock.advance(timedelta(milliseconds=answered_for_ms))
+        def fail() -> None:
+            clock.advance(timedelta(milliseconds=failed_after_ms))
             exchange.push(Failed(msg.id, reason, "yes"))
 
-        asyncio.get_running_loop().call_later(0.02, end)
+        asyncio.get_running_loop().call_later(0.02, fail)
 
     return script
 
 
 @pytest.mark.parametrize(
-    ("reason", "told"),
+    ("reason", "reported"),
     [
         ("upstream_cut", True),
         ("upstream_error", True),
@@ -87,77 +87,87 @@
         ("upstream_restarted", False),
     ],
 )
-def test_only_a_connection_that_ended_may_have_been_a_crash(
-    bench: Bench, reason: str, told: bool
+def test_only_a_closed_connection_is_reported_as_a_possible_crash(
+    harness: Bench, reason: str, reported: bool
 ) -> None:
-    """An upstream that is silent, frozen or known to have started again is not asked about."""
-    guard = _guarded(bench)
-    bench.side("up-1", _fails(reason))
-    req = bench.request(request_id="r1", path="/x?secret=1", idempotent=False)
-    asyncio.run(bench.dispatcher.async_run(req, CollectingSink()))
+    """A timeout, or a restart that is already known, is reported as a possible crash."""
+    guard = _guarded(harness)
+    harness.side("up-1", _failing_script(reason))
+    req = harness.request(request_id="r1", path="/x?secret=1", idempotent=False)
+    asyncio.run(harness.dispatcher.async_run(req, CollectingSink()))
     expected = BrokenRun(req.fingerprint, "r1", req.caller, "/x", req.service, "up-1")
-    assert guard.broken == ([expected] if told else [])
+    assert guard.broken == ([expected] if reported else [])
 
 
-@pytest.mark.parametrize(("answered_for_ms", "told"), [(100, True), (900, False)])
-def test_a_run_that_went_well_for_a_while_is_not_to_blame(answered_for_ms: int, told: bool) -> None:
-    """A long text that is under way when its engine crashes did not crash it by beginning."""
+@pytest.mark.parametrize(("failed_after_ms", "reported"), [(100, True), (900, False)])
+def test_late_failure_of_a_run_is_not_reported_as_a_possible_crash(
+    failed_after_ms: int, reported: bool
+) -> None:
+    """A long text is blamed for a crash of its engine although it had been running for a while.
+
+    Only failures before a response or in its first 500 ms are reported.
+    """
     clock = FakeClock()
-    bench = Bench(clock)
-    guard = _guarded(bench)
-    bench.side("up-1", _fails("upstream_cut", clock, answered_for_ms))
-    req = bench.request(idempotent=False, deadline=clock.monotonic() + timedelta(seconds=9))
-    asyncio.run(bench.dispatcher.async_run(req, CollectingSink()))
-    assert bool(guard.broken) == told
-
-
-def test_a_refusal_by_the_upstream_is_no_crash(bench: Bench) -> None:
-    """It says itself that it did not run the request."""
-    guard = _guarded(bench)
-    bench.side("up-1", lambda _side, exchange, msg: exchange.push(NotRun(msg.id, "draining", 0)))
-    asyncio.run(bench.dispatcher.async_run(bench.request(), CollectingSink()))
+    harness = Bench(clock)
+    guard = _guarded(harness)
+    harness.side("up-1", _failing_script("upstream_cut", clock, failed_after_ms))
+    req = harness.request(idempotent=False, deadline=clock.monotonic() + timedelta(seconds=9))
+    asyncio.run(harness.dispatcher.async_run(req, CollectingSink()))
+    assert bool(guard.broken) == reported
+
+
+def test_rejection_by_the_upstream_is_not_reported_as_a_possible_crash(harness: Bench) -> None:
+    """A request that the upstream rejected as not run is reported as a possible crash."""
+    guard = _guarded(harness)
+    harness.side("up-1", lambda _side, exchange, msg: exchange.push(NotRun(msg.id, "draining", 0)))
+    asyncio.run(harness.dispatcher.async_run(harness.request(), CollectingSink()))
     assert guard.broken == []
 
 
-def test_a_held_request_reaches_no_upstream(bench: Bench) -> None:
-    """It is refused as not run, with the time of its trial."""
-    _guarded(bench, holds_after=0)
-    side = bench.side("up-1")
-    ended = asyncio.run(bench.dispatcher.async_run(bench.request(), CollectingSink()))
-    refusal = ended.unwrap_err()
+def test_request_in_quarantine_is_not_sent(harness: Bench) -> None:
+    """A request in quarantine is sent to an upstream.
+
+    It must be refused as not run, with the time until its next trial run.
+    """
+    _guarded(harness, holds_after=0)
+    side = harness.side("up-1")
+    result = asyncio.run(harness.dispatcher.async_run(harness.request(), CollectingSink()))
+    refusal = result.unwrap_err()
     assert (refusal.reason, refusal.ran) == (RefusalReason.HELD, Ran.NO)
     assert refusal.retry_after == timedelta(seconds=7) and not side.submits
 
 
-def test_a_request_that_is_held_between_its_attempts_is_told_as_perhaps_run(bench: Bench) -> None:
-    """Its first run broke off, and a second one would crash another upstream; it is no longer `not run`."""
-    _guarded(bench, holds_after=1)
-    sides = [bench.side(f"up-{n}", _fails("upstream_cut")) for n in range(3)]
-    ended = asyncio.run(bench.dispatcher.async_run(bench.request(), CollectingSink()))
-    refusal = ended.unwrap_err()
+def test_request_held_after_its_first_attempt_is_reported_as_unknown(harness: Bench) -> None:
+    """A second run crashes another upstream, or the request is reported as not run."""
+    _guarded(harness, holds_after=1)
+    sides = [harness.side(f"up-{n}", _failing_script("upstream_cut")) for n in range(3)]
+    result = asyncio.run(harness.dispatcher.async_run(harness.request(), CollectingSink()))
+    refusal = result.unwrap_err()
     assert (refusal.reason, refusal.ran) == (RefusalReason.HELD, Ran.UNKNOWN)
     assert sum(len(side.submits) for side in sides) == 1
 
 
-def test_a_trial_is_one_run(bench: Bench) -> None:
-    """It breaks off again, and the dispatcher does not repeat it."""
-    guard = _guarded(bench, holds_after=0, trials=1)
-    sides = [bench.side(f"up-{n}", _fails("upstream_cut")) for n in range(3)]
-    ended = asyncio.run(bench.dispatcher.async_run(bench.request(), CollectingSink()))
-    assert ended.unwrap_err().ran is Ran.UNKNOWN
+def test_trial_run_is_not_retried(harness: Bench) -> None:
+    """The trial run fails, and a retry of it crashes another upstream."""
+    guard = _guarded(harness, holds_after=0, trials=1)
+    sides = [harness.side(f"up-{n}", _failing_script("upstream_cut")) for n in range(3)]
+    result = asyncio.run(harness.dispatcher.async_run(harness.request(), CollectingSink()))
+    assert result.unwrap_err().ran is Ran.UNKNOWN
     assert sum(len(side.submits) for side in sides) == 1 and len(guard.broken) == 1
 
 
-@pytest.mark.parametrize(("status", "clears"), [(200, True), (404, True), (500, False)])
-def test_a_sound_answer_is_told(bench: Bench, status: int, clears: bool) -> None:
-    """An upstream's own failure says nothing of whether the next one survives."""
-    guard = _guarded(bench)
+@pytest.mark.parametrize(("status", "is_cleared"), [(200, True), (404, True), (500, False)])
+def test_only_responses_without_a_server_error_clear_a_request(
+    harness: Bench, status: int, is_cleared: bool
+) -> None:
+    """A request is cleared by a server error, although it may crash the next upstream."""
+    guard = _guarded(harness)
 
     def script(side: FakeSide, exchange: Exchange, msg: Submit) -> None:
         exchange.push(Head(msg.id, status, ()))
         exchange.push(End(msg.id, 0))
 
-    bench.side("up-1", script)
-    req = bench.request()
-    asyncio.run(bench.dispatcher.async_run(req, CollectingSink()))
-    assert guard.answers == ([req.fingerprint] if clears else [])
+    harness.side("up-1", script)
+    req = harness.request()
+    asyncio.run(harness.dispatcher.async_run(req, CollectingSink()))
+    assert guard.cleared == ([req.fingerprint] if is_cleared else [])
--- a/tests/dispatch/test_lane_room.py
+++ b/tests/dispatch/test_lane_room.py
@@ -1,4 +1,4 @@
-"""What an entry takes of its upstreams when another entry sends work to them too."""
+"""Free slots of upstreams that another entry sends requests to as well."""
 
 import asyncio
 from datetime import timedelta
@@ -9,119 +9,121 @@
 from cranberryline.helpers.clock import SystemClock
 from cranberryline.transport.model import Load
 
-from .conftest import Bench, FakeSide, silent
+from .conftest import Bench, FakeSide, no_response
 
 CONCURRENCY = 8
 
 
 @pytest.fixture
-def wide() -> Bench:
+def wide_harness() -> Bench:
     """Return a dispatcher whose service runs eight requests at a time on each upstream."""
     return Bench(SystemClock(), concurrency=CONCURRENCY)
 
 
-def _report(side: FakeSide, others: int) -> None:
-    """Let a side process tell that another entry has so many requests there."""
+def _set_load_report(side: FakeSide, others: int) -> None:
+    """Make a side process report `others` requests of other entries besides the own ones."""
     side.outstanding_at_load = side.outstanding
     side.load_at = SystemClock().monotonic()
     side.load = Load(side.outstanding + others, 0, 0, CONCURRENCY, None, 0)
 
 
-def _ask(bench: Bench, caller: str, count: int) -> list[asyncio.Task[object]]:
+def _start_requests(harness: Bench, caller: str, count: int) -> list[asyncio.Task[object]]:
     return [
         asyncio.ensure_future(
-            bench.dispatcher.async_run(bench.request(caller=caller), CollectingSink())
+            harness.dispatcher.async_run(harness.request(caller=caller), CollectingSink())
         )
         for _ in range(count)
     ]
 
 
-async def _async_end(tasks: list[asyncio.Task[object]]) -> None:
+async def _async_cancel_all(tasks: list[asyncio.Task[object]]) -> None:
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def test_freed_places_are_given_once(wide: Bench) -> None:
-    """A report that shows one free place on each of two upstreams lets one request go to each.
+def test_each_freed_slot_is_reserved_once(wide_harness: Bench) -> None:
+    """More requests are sent than slots are free, because reservations are not counted.
 
-    Turns are given in one go, before any of their requests has left; one that is given counts.
+    The load reports show one free slot on each of two upstreams. All slots are reserved before the
+    first request is sent, so a reservation must count as a request.
     """
-    sides = [wide.side("up-1", silent), wide.side("up-2", silent)]
+    sides = [wide_harness.side("up-1", no_response), wide_harness.side("up-2", no_response)]
 
-    async def async_case() -> None:
+    async def async_main() -> None:
         for side in sides:
-            _report(side, CONCURRENCY)
-        tasks = _ask(wide, "inspecteur", 10)
+            _set_load_report(side, CONCURRENCY)
+        tasks = _start_requests(wide_harness, "inspecteur", 10)
         await asyncio.sleep(0.01)
         assert [len(side.submits) for side in sides] == [0, 0]
         for side in sides:
-            _report(side, CONCURRENCY - 1)
-        wide.dispatcher.wake()
+            _set_load_report(side, CONCURRENCY - 1)
+        wide_harness.dispatcher.wake()
         await asyncio.sleep(0.01)
         assert [len(side.submits) for side in sides] == [1, 1]
-        await _async_end(tasks)
+        await _async_cancel_all(tasks)
 
-    asyncio.run(async_case())
+    asyncio.run(async_main())
 
 
-def test_a_heavy_caller_leaves_the_last_place_though_another_entry_has_half(wide: Bench) -> None:
-    """The reserve is kept of the places that this entry can have, not of those that exist.
+def test_reserve_for_other_callers_is_kept_if_another_entry_uses_half(wide_harness: Bench) -> None:
+    """A heavy caller takes all slots, because the reserve is computed from all slots that exist.
 
-    Another entry holds half of each upstream. The heavy caller may take all of the rest but the
-    reserve, and a caller with little work starts at once.
+    Another entry uses half of the slots of each upstream. The heavy caller may use all others but
+    the reserve, so that a caller with few requests is served immediately.
     """
-    sides = [wide.side("up-1", silent), wide.side("up-2", silent)]
+    sides = [wide_harness.side("up-1", no_response), wide_harness.side("up-2", no_response)]
 
-    async def async_case() -> None:
+    async def async_main() -> None:
         for side in sides:
-            _report(side, CONCURRENCY // 2)
-        light = _ask(wide, "light", 1)
+            _set_load_report(side, CONCURRENCY // 2)
+        light = _start_requests(wide_harness, "light", 1)
         await asyncio.sleep(0.01)
-        heavy = _ask(wide, "heavy", 20)
+        heavy = _start_requests(wide_harness, "heavy", 20)
         await asyncio.sleep(0.01)
         assert sum(len(side.submits) for side in sides) == CONCURRENCY - 1
-        late = _ask(wide, "light", 1)
+        late = _start_requests(wide_harness, "light", 1)
         await asyncio.sleep(0.01)
         assert sum(len(side.submits) for side in sides) == CONCURRENCY
-        await _async_end(light + heavy + late)
+        await _async_cancel_all(light + heavy + late)
 
-    asyncio.run(async_case())
+    asyncio.run(async_main())
 
 
-def test_a_turn_that_nobody_takes_frees_its_place(wide: Bench) -> None:
-    """Whoever leaves in the moment in which the turn is given leaves nothing held."""
-    side = wide.side("up-1", silent)
+def test_reservation_of_a_disconnected_caller_is_released(wide_harness: Bench) -> None:
+    """A slot stays reserved if the caller disconnects just as it is reserved."""
+    side = wide_harness.side("up-1", no_response)
 
-    async def async_case() -> None:
-        _report(side, CONCURRENCY)
-        gone = _ask(wide, "inspecteur", CONCURRENCY)
+    async def async_main() -> None:
+        _set_load_report(side, CONCURRENCY)
+        disconnected = _start_requests(wide_harness, "inspecteur", CONCURRENCY)
         await asyncio.sleep(0.01)
-        _report(side, 0)
-        wide.dispatcher.wake()
-        await _async_end(gone)
+        _set_load_report(side, 0)
+        wide_harness.dispatcher.wake()
+        await _async_cancel_all(disconnected)
         assert not side.submits
-        tasks = _ask(wide, "inspecteur", CONCURRENCY)
+        tasks = _start_requests(wide_harness, "inspecteur", CONCURRENCY)
         await asyncio.sleep(0.01)
         assert len(side.submits) == CONCURRENCY
-        await _async_end(tasks)
+        await _async_cancel_all(tasks)
 
-    asyncio.run(async_case())
+    asyncio.run(async_main())
 
 
-def test_an_old_report_of_full_upstreams_does_not_keep_a_caller_waiting(wide: Bench) -> None:
-    """The caller of an idle entry is served though its last report, seconds ago, showed no place.
+def test_old_report_of_full_upstreams_does_not_delay_a_caller(wide_harness: Bench) -> None:
+    """A caller of an idle entry waits although the upstream is free again.
 
-    An idle connection is probed every five seconds; the other entry's work may be long over.
+    The last load report is seconds old and shows no free slot. An idle connection gets a report
+    only every five seconds, and the requests of the other entry may have ended long before.
     """
-    side = wide.side("up-1")
+    side = wide_harness.side("up-1")
 
-    async def async_case() -> None:
-        _report(side, CONCURRENCY)
+    async def async_main() -> None:
+        _set_load_report(side, CONCURRENCY)
         side.load_at -= timedelta(seconds=1.8)
-        task = _ask(wide, "inspecteur", 1)[0]
+        task = _start_requests(wide_harness, "inspecteur", 1)[0]
         await asyncio.sleep(0.01)
         assert not side.submits
         assert (await task).is_ok()  # type: ignore[attr-defined]
 
-    asyncio.run(async_case())
+    asyncio.run(async_main())
--- a/tests/dispatch/test_repeated.py
+++ b/tests/dispatch/test_repeated.py
@@ -1,4 +1,4 @@
-"""Requests that are sent to several upstreams, and when that ends."""
+"""Retries of a request at several upstreams, and their limits."""
 
 import asyncio
 from datetime import timedelta
@@ -14,30 +14,30 @@
 from cranberryline.helpers.metrics import Metrics
 from tests.virtual_time import run_virtual
 
-FAILURE = 500
-MANY = 50
+STATUS_ERROR = 500
+MAX_CALLS = 50
 
 
-class Scripted:
-    """Stands for the dispatcher: answers with the given statuses, then refuses each time."""
+class ScriptedDispatcher:
+    """Fake dispatcher that responds with the given statuses, then refuses every request."""
 
     def __init__(self, refusal: Refusal, *statuses: int) -> None:
         self.refusal = refusal
         self.statuses = list(statuses)
-        self.asked = 0
+        self.call_count = 0
 
     async def async_run(self, _req: CallerRequest, sink: AnswerSink) -> Result[str, Refusal]:
-        """Answer or refuse at once; many calls are a loop that would not end."""
-        self.asked += 1
-        assert self.asked < MANY
+        """Respond or refuse immediately; more than `MAX_CALLS` calls show an endless loop."""
+        self.call_count += 1
+        assert self.call_count < MAX_CALLS
         if not self.statuses:
             return Err(self.refusal)
-        sink.dispatched(f"upstream-{self.asked}")
+        sink.dispatched(f"upstream-{self.call_count}")
         await sink.async_head(self.statuses.pop(0), ())
-        return Ok(f"upstream-{self.asked}")
+        return Ok(f"upstream-{self.call_count}")
 
 
-def _ask(dispatcher: Scripted, max_attempts: int = 3) -> Result[AttemptSink, Refusal]:
+def _run(dispatcher: ScriptedDispatcher, max_attempts: int = 3) -> Result[AttemptSink, Refusal]:
     req = RepeatedRequest(
         cast(Any, dispatcher),
         HedgeBudget(),
@@ -46,46 +46,47 @@
         timedelta(seconds=1),
         max_attempts,
     )
-    answers: list[Result[AttemptSink, Refusal]] = []
+    results: list[Result[AttemptSink, Refusal]] = []
 
-    async def scene() -> None:
+    async def async_main() -> None:
         async with asyncio.timeout(10):
-            answers.append(await req.async_run())
+            results.append(await req.async_run())
 
-    run_virtual(scene())
-    return answers[0]
+    run_virtual(async_main())
+    return results[0]
 
 
 @pytest.mark.parametrize(
     "reason",
     [RefusalReason.OVERLOADED, RefusalReason.NO_UPSTREAM, RefusalReason.RETRIES_SPENT],
 )
-def test_a_failure_before_a_service_that_turns_all_away_ends(reason: RefusalReason) -> None:
-    """Refused at once each time, the request was sent again without a pause for as long as that lasted.
+def test_retries_after_an_error_end_if_the_service_rejects_all(reason: RefusalReason) -> None:
+    """The request is retried without a delay for as long as the service rejects it.
 
-    One processor was taken by it; the failure is the answer.
+    Every retry was refused immediately, so the loop used a whole processor. The error response must
+    be returned in this case.
     """
-    dispatcher = Scripted(Refusal(reason, Ran.NO), FAILURE)
-    answer = _ask(dispatcher)
-    assert answer.unwrap().status == FAILURE
-    assert dispatcher.asked <= 6
+    dispatcher = ScriptedDispatcher(Refusal(reason, Ran.NO), STATUS_ERROR)
+    result = _run(dispatcher)
+    assert result.unwrap().status == STATUS_ERROR
+    assert dispatcher.call_count <= 6
 
 
-def test_a_failure_is_followed_by_another_upstream() -> None:
-    """The first upstream fails, the second answers."""
-    dispatcher = Scripted(Refusal(RefusalReason.OVERLOADED), FAILURE, 200)
-    assert _ask(dispatcher).unwrap().status == 200
+def test_request_is_retried_at_another_upstream_after_an_error() -> None:
+    """The error response of the first upstream is returned although a second one can succeed."""
+    dispatcher = ScriptedDispatcher(Refusal(RefusalReason.OVERLOADED), STATUS_ERROR, 200)
+    assert _run(dispatcher).unwrap().status == 200
 
 
-def test_failures_end_with_the_attempts() -> None:
-    """Every upstream fails: the last failure is told after as many attempts as are allowed."""
-    dispatcher = Scripted(Refusal(RefusalReason.OVERLOADED), *[FAILURE] * MANY)
-    assert _ask(dispatcher).unwrap().status == FAILURE
-    assert dispatcher.asked == 3
+def test_retries_after_errors_end_with_the_attempt_limit() -> None:
+    """Every upstream fails, and the last error response is not returned after `max_attempts`."""
+    dispatcher = ScriptedDispatcher(Refusal(RefusalReason.OVERLOADED), *[STATUS_ERROR] * MAX_CALLS)
+    assert _run(dispatcher).unwrap().status == STATUS_ERROR
+    assert dispatcher.call_count == 3
 
 
-def test_a_service_that_turns_all_away_ends_in_a_refusal() -> None:
-    """Nothing was run, so the refusal says so."""
-    dispatcher = Scripted(Refusal(RefusalReason.NO_UPSTREAM, Ran.NO))
-    assert _ask(dispatcher).unwrap_err().ran is Ran.NO
-    assert dispatcher.asked <= 5
+def test_request_rejected_by_all_upstreams_is_reported_as_not_run() -> None:
+    """The request is rejected everywhere, and the refusal does not say that it was not run."""
+    dispatcher = ScriptedDispatcher(Refusal(RefusalReason.NO_UPSTREAM, Ran.NO))
+    assert _run(dispatcher).unwrap_err().ran is Ran.NO
+    assert dispatcher.call_count <= 5
