--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -12,9 +12,9 @@
 from result import Ok
 
 from cranberryline.configs.model import ServiceSpec, ServiceType
-from cranberryline.dispatch.lane import ServiceLane
 from cranberryline.dispatch.model import CallerRequest
-from cranberryline.dispatch.upstreams import PeerTable
+from cranberryline.dispatch.scheduler import ServiceScheduler
+from cranberryline.dispatch.upstreams import UpstreamTable
 from cranberryline.helpers.clock import SystemClock
 from cranberryline.ports.model import VmList
 from cranberryline.transport import Dialer, DialerEvents, Exchange
@@ -50,12 +50,12 @@
     async def async_case() -> int:
         spec = ServiceSpec(ServiceType.ENGINE, model="m")
         clock, rng = SystemClock(), Random(1)
-        lane = ServiceLane("s", clock, rng, PeerTable(), lambda: spec, {})
+        lane = ServiceScheduler("s", clock, rng, UpstreamTable(), lambda: spec, {})
         start_by = clock.monotonic() + timedelta(minutes=10)
         gc.collect()
         tracemalloc.start()
         tasks = [
-            asyncio.ensure_future(lane.async_take_turn(_request(n), start_by, frozenset()))
+            asyncio.ensure_future(lane.async_reserve_slot(_request(n), start_by, frozenset()))
             for n in range(count)
         ]
         await asyncio.sleep(0)
--- a/bench/capacity/registrations.py
+++ b/bench/capacity/registrations.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from cranberryline.dispatch.direct import DirectUpstreams
-from cranberryline.dispatch.upstreams import PeerTable
+from cranberryline.dispatch.upstreams import UpstreamTable
 from cranberryline.gateway.links import DirectLinks
 from cranberryline.gateway.registrations import Registrations
 from cranberryline.helpers.clock import SystemClock
@@ -57,7 +57,7 @@
     """The parts of a gateway that a registration goes through."""
 
     def __init__(self) -> None:
-        clock, metrics, table = SystemClock(), Metrics(), PeerTable()
+        clock, metrics, table = SystemClock(), Metrics(), UpstreamTable()
         loop = asyncio.get_running_loop()
         platform, routes = UsersPlatform("127.0.0.1:9"), ActiveRoutes()
         self.directory = Directory(clock, StoreHealth(clock), loop.call_soon)
@@ -74,7 +74,7 @@
         self.links = DirectLinks(table, directs)
         self.registrations = Registrations(platform, self.directory, routes, metrics)
         routes.apply(RouteTable(1, services={f"engines-{n}": None for n in range(_SERVICES)}))
-        self.directory.listen_superseded(directs.end)
+        self.directory.listen_superseded(directs.abort_requests)
         self.directory.membership.listen(lambda: self.links.apply(self.directory.membership))
 
     async def async_read(self, records: list[KeyedRecord]) -> float:
--- a/cranberryline/dispatch/__init__.py
+++ b/cranberryline/dispatch/__init__.py
@@ -1,30 +1,30 @@
 """Admission, queueing, attempts and retries of requests, up to one final result for each."""
 
-from .attempt import CallerLeft
+from .attempt import CallerDisconnected
 from .direct import DirectUpstream, DirectUpstreams
-from .dispatch import Dispatcher, ServiceBook
+from .dispatch import Dispatcher, ServiceCatalog
 from .errors import Ran, Refusal, RefusalReason
-from .lane import ServiceLane
-from .model import AnswerSink, CallerClass, CallerRequest, CollectingSink
-from .repeated import AttemptSink, RepeatedRequest
-from .upstreams import PeerTable, Upstream
+from .hedged import AttemptSink, HedgedRequest
+from .model import CallerClass, CallerRequest, CollectingSink, ResponseSink
+from .scheduler import ServiceScheduler
+from .upstreams import Upstream, UpstreamTable
 
 __all__ = [
-    "AnswerSink",
     "AttemptSink",
     "CallerClass",
-    "CallerLeft",
+    "CallerDisconnected",
     "CallerRequest",
     "CollectingSink",
     "DirectUpstream",
     "DirectUpstreams",
     "Dispatcher",
-    "PeerTable",
+    "HedgedRequest",
     "Ran",
     "Refusal",
     "RefusalReason",
-    "RepeatedRequest",
-    "ServiceBook",
-    "ServiceLane",
+    "ResponseSink",
+    "ServiceCatalog",
+    "ServiceScheduler",
     "Upstream",
+    "UpstreamTable",
 ]
--- a/cranberryline/dispatch/attempt.py
+++ b/cranberryline/dispatch/attempt.py
@@ -30,9 +30,9 @@
     Withdrawn,
 )
 
-from .model import AnswerSink, CallerRequest
+from .model import CallerRequest, ResponseSink
 
-__all__ = ["AttemptTrace", "CallerLeft", "async_attempt"]
+__all__ = ["AttemptTrace", "CallerDisconnected", "async_attempt"]
 
 # A side process under load replies to a withdrawal within one iteration of its event loop. If it
 # does not reply in this time, the caller is told that the request may have run (`unknown`).
@@ -41,7 +41,7 @@
 _NOT_CONNECTED = "not_connected"
 
 
-class CallerLeft(Exception):  # noqa: N818 - a normal event, not an error
+class CallerDisconnected(Exception):  # noqa: N818 - a normal event, not an error
     """Raise when the caller closed its connection."""
 
 
@@ -55,7 +55,7 @@
 async def async_attempt(
     link: UpstreamLink,
     req: CallerRequest,
-    sink: AnswerSink,
+    sink: ResponseSink,
     clock: Clock,
     trace: AttemptTrace | None = None,
 ) -> AttemptOutcome:
@@ -72,7 +72,7 @@
     runner = _AttemptRunner(exchange, req, sink, clock, trace or AttemptTrace())
     try:
         return await runner.async_receive_response()
-    except CallerLeft:
+    except CallerDisconnected:
         return await runner.async_withdraw("caller_left")
     except asyncio.CancelledError:
         # The caller has disconnected, so the result of the withdrawal is not needed.
@@ -108,7 +108,7 @@
         self,
         exchange: Exchange,
         req: CallerRequest,
-        sink: AnswerSink,
+        sink: ResponseSink,
         clock: Clock,
         trace: AttemptTrace,
     ) -> None:
--- a/cranberryline/dispatch/direct.py
+++ b/cranberryline/dispatch/direct.py
@@ -195,11 +195,11 @@
         self._links.setdefault(vm.id, []).append(link)
         return link
 
-    def retire(self, link: DirectUpstream) -> None:
+    def drain(self, link: DirectUpstream) -> None:
         """Send no new requests to an upstream that was removed; its running requests finish."""
         link.draining = True
 
-    def end(self, vm_id: str) -> None:
+    def abort_requests(self, vm_id: str) -> None:
         """End all requests at an upstream whose process has been replaced.
 
         The new process is registered under another id. Connections to the old one may stay open
@@ -211,7 +211,7 @@
             link.draining = True
             link.runner.abort_all()
 
-    def on_revision(self) -> None:
+    def update_concurrency(self) -> None:
         """Apply the concurrency of the current configuration to all links."""
         for link in self._all_links():
             link.runner.set_concurrency(self._service_concurrency(link.service))
--- a/cranberryline/dispatch/dispatch.py
+++ b/cranberryline/dispatch/dispatch.py
@@ -21,8 +21,7 @@
 
 from .attempt import AttemptTrace, async_attempt
 from .errors import Refusal, RefusalReason
-from .lane import ServiceLane, SlotReservation
-from .model import AnswerSink, CallerRequest
+from .model import CallerRequest, ResponseSink
 from .outcomes import (
     cooldown_after,
     hold_refusal,
@@ -36,9 +35,10 @@
     may_be_crash,
     reason_text,
 )
-from .upstreams import PeerTable
+from .scheduler import ServiceScheduler, SlotReservation
+from .upstreams import UpstreamTable
 
-__all__ = ["Dispatcher", "ServiceBook"]
+__all__ = ["Dispatcher", "ServiceCatalog"]
 
 _STATUS_SERVER_ERROR = 500
 # Attempts of one request at upstreams with stale registrations that are repeated without a delay;
@@ -47,7 +47,7 @@
 _NO_LONGER_ELIGIBLE = Refusal(RefusalReason.NO_UPSTREAM, detail="no longer eligible")
 
 
-class ServiceBook:
+class ServiceCatalog:
     """Services and callers of the current configuration."""
 
     def __init__(self, fold: ConfigFold) -> None:
@@ -66,7 +66,7 @@
         self._shares.clear()
         self._shares.update({name: spec.share for name, spec in self._callers.items()})
 
-    def knows(self, service: str) -> bool:
+    def has_service(self, service: str) -> bool:
         """Return whether the service is configured."""
         return service in self._services
 
@@ -78,7 +78,7 @@
         """
         return self._last_specs[service]
 
-    def for_model(self, model: str) -> str | None:
+    def service_for_model(self, model: str) -> str | None:
         """Return the service that serves a model, or that has its name, None if neither exists."""
         services = self._services
         named = (name for name, spec in services.items() if spec.model == model)
@@ -100,8 +100,8 @@
         self,
         clock: Clock,
         rng: Random,
-        peers: PeerTable,
-        book: ServiceBook,
+        upstreams: UpstreamTable,
+        catalog: ServiceCatalog,
         metrics: Metrics,
         data_center: str = "",
         guard: RequestGuard | None = None,
@@ -109,51 +109,53 @@
         self._guard = guard
         self._clock = clock
         self._rng = rng
-        self._peers = peers
-        self._book = book
+        self._upstreams = upstreams
+        self._catalog = catalog
         self._metrics = metrics
         self._data_center = data_center
-        self._lanes: dict[str, ServiceLane] = {}
+        self._schedulers: dict[str, ServiceScheduler] = {}
         self._retry = RetryPolicy()
         self.in_flight = 0
-        metrics.queued.set_function(lambda: sum(lane.queued for lane in self._lanes.values()))
+        metrics.queued.set_function(
+            lambda: sum(scheduler.queued for scheduler in self._schedulers.values())
+        )
         metrics.in_flight.set_function(lambda: self.in_flight)
 
-    def lane(self, service: str) -> ServiceLane:
+    def scheduler(self, service: str) -> ServiceScheduler:
         """Return the scheduler of a configured service; it is created on first use."""
-        lane = self._lanes.get(service)
-        if lane is None:
-            lane = self._lanes[service] = ServiceLane(
+        scheduler = self._schedulers.get(service)
+        if scheduler is None:
+            scheduler = self._schedulers[service] = ServiceScheduler(
                 service,
                 self._clock,
                 self._rng,
-                self._peers,
-                lambda: self._book.spec(service),
-                self._book.shares(),
+                self._upstreams,
+                lambda: self._catalog.spec(service),
+                self._catalog.shares(),
                 self._data_center,
             )
-        return lane
+        return scheduler
 
-    def places(self, service: str) -> int:
+    def total_slots(self, service: str) -> int:
         """Return how many requests the service's usable upstreams can run at once."""
-        return len(self._peers.usable(service)) * self._book.spec(service).concurrency
+        return len(self._upstreams.usable(service)) * self._catalog.spec(service).concurrency
 
-    def with_room(self, service: str) -> list[str]:
+    def upstreams_with_free_slots(self, service: str) -> list[str]:
         """Return the ids of a service's upstreams with a free slot, as far as this node knows."""
-        return self.lane(service).with_room()
+        return self.scheduler(service).upstreams_with_free_slots()
 
     def wake(self) -> None:
         """Assign queued requests to upstreams that have become available."""
-        for service, lane in self._lanes.items():
-            if self._book.knows(service):
-                lane.dispatch_waiting()
+        for service, scheduler in self._schedulers.items():
+            if self._catalog.has_service(service):
+                scheduler.dispatch_waiting()
 
-    def suspects(self, req: CallerRequest) -> bool:
+    def may_crash_upstream(self, req: CallerRequest) -> bool:
         """Return whether an upstream crashed while it ran this request; it is not hedged then."""
         guard = self._guard
         return guard is not None and guard.has_suspects and guard.is_suspected(req.fingerprint)
 
-    async def async_run(self, req: CallerRequest, sink: AnswerSink) -> Result[str, Refusal]:
+    async def async_run(self, req: CallerRequest, sink: ResponseSink) -> Result[str, Refusal]:
         """Run a request to its end; return the id of the upstream that served it, or a refusal."""
         self.in_flight += 1
         try:
@@ -161,45 +163,45 @@
         finally:
             self.in_flight -= 1
 
-    async def _async_run(self, req: CallerRequest, sink: AnswerSink) -> Result[str, Refusal]:
+    async def _async_run(self, req: CallerRequest, sink: ResponseSink) -> Result[str, Refusal]:
         hold = self._hold_of(req)
         is_trial = hold is not None and await self._async_claim_trial(req)
         if hold is not None and not is_trial:
             return Err(hold_refusal(hold))
-        lane = self.lane(req.service)
-        admitted = lane.admit(req)
+        scheduler = self.scheduler(req.service)
+        admitted = scheduler.admit(req)
         if isinstance(admitted, Err):
             return admitted
         avoid: frozenset[str] = req.avoid
         outcomes: list[AttemptOutcome] = []
         while True:
-            reserved = await lane.async_take_turn(req, admitted.unwrap(), avoid)
+            reserved = await scheduler.async_reserve_slot(req, admitted.unwrap(), avoid)
             if isinstance(reserved, Err):
                 return Err(include_earlier_attempts(reserved.unwrap_err(), outcomes))
             reservation = reserved.unwrap()
-            if req.eligible is not None and not req.eligible(reservation.upstream.peer.vm_id):
+            if req.eligible is not None and not req.eligible(reservation.upstream.link.vm_id):
                 # The event loop may have been busy for some time since the slot was reserved.
-                lane.release_unused(reservation)
+                scheduler.release_unused(reservation)
                 return Err(include_earlier_attempts(_NO_LONGER_ELIGIBLE, outcomes))
             hold = None if is_trial else self._hold_of(req)
             if hold is not None:
-                lane.release_unused(reservation)
+                scheduler.release_unused(reservation)
                 return Err(include_earlier_attempts(hold_refusal(hold), outcomes))
             is_trial = False
-            sink.dispatched(reservation.upstream.peer.vm_id)
+            sink.dispatched(reservation.upstream.link.vm_id)
             trace = AttemptTrace()
-            outcome = await self._async_run_attempt(lane, reservation, req, sink, trace)
+            outcome = await self._async_run_attempt(scheduler, reservation, req, sink, trace)
             if isinstance(outcome, AttemptDone):
                 if self._guard is not None and outcome.status < _STATUS_SERVER_ERROR:
                     self._guard.record_answer(req.fingerprint)
-                return Ok(reservation.upstream.peer.vm_id)
+                return Ok(reservation.upstream.link.vm_id)
             if self._guard is not None and may_be_crash(outcome, trace, self._clock.monotonic()):
                 await self._guard.async_report_broken_run(
-                    make_broken_run(req, reservation.upstream.peer.vm_id)
+                    make_broken_run(req, reservation.upstream.link.vm_id)
                 )
             outcomes.append(outcome)
-            avoid = avoid | {reservation.upstream.peer.vm_id}
-            decision = self._decide_retry(lane, req, outcomes, avoid)
+            avoid = avoid | {reservation.upstream.link.vm_id}
+            decision = self._decide_retry(scheduler, req, outcomes, avoid)
             if isinstance(decision, Refusal):
                 return Err(include_earlier_attempts(decision, outcomes))
             self._metrics.retry(reason_text(outcome))
@@ -216,19 +218,19 @@
 
     async def _async_run_attempt(
         self,
-        lane: ServiceLane,
+        scheduler: ServiceScheduler,
         reservation: SlotReservation,
         req: CallerRequest,
-        sink: AnswerSink,
+        sink: ResponseSink,
         trace: AttemptTrace,
     ) -> AttemptOutcome:
         tokens = 0
         try:
-            outcome = await async_attempt(reservation.upstream.peer, req, sink, self._clock, trace)
+            outcome = await async_attempt(reservation.upstream.link, req, sink, self._clock, trace)
             if isinstance(outcome, AttemptDone):
                 tokens = reservation.item.tokens
                 reservation.upstream.response_completed()
-                lane.budget.earn()
+                scheduler.budget.earn()
             elif is_upstream_fault(outcome):
                 reservation.upstream.attempt_failed(
                     reservation.reserved_at, self._clock.monotonic()
@@ -236,7 +238,7 @@
             self._record_failed_attempt(req, reservation, outcome)
             return outcome
         finally:
-            lane.release(reservation, tokens)
+            scheduler.release(reservation, tokens)
 
     def _record_failed_attempt(
         self, req: CallerRequest, reservation: SlotReservation, outcome: AttemptOutcome
@@ -250,7 +252,7 @@
 
     def _decide_retry(
         self,
-        lane: ServiceLane,
+        scheduler: ServiceScheduler,
         req: CallerRequest,
         outcomes: list[AttemptOutcome],
         avoid: frozenset[str],
@@ -276,15 +278,15 @@
         policy = self._retry
         if req.max_attempts is not None:
             policy = attrs.evolve(policy, max_attempts=req.max_attempts)
-        decision = policy.decide(retry_request, lane.budget, self._rng)
+        decision = policy.decide(retry_request, scheduler.budget, self._rng)
         if isinstance(decision, GiveUp) or is_final(outcome):
             hint = decision.retry_after if isinstance(decision, GiveUp) else None
             return make_refusal(outcome, hint)
-        lane.budget.spend()
+        scheduler.budget.spend()
         return decision.after
 
     def _has_untried_upstream(self, req: CallerRequest, avoid: frozenset[str]) -> bool:
         """Return whether an eligible upstream remains that is not to be avoided."""
-        ids = (upstream.peer.vm_id for upstream in self._peers.usable(req.service))
+        ids = (upstream.link.vm_id for upstream in self._upstreams.usable(req.service))
         eligible = req.eligible or (lambda _upstream: True)
         return any(vm_id not in avoid and eligible(vm_id) for vm_id in ids)
--- a/cranberryline/dispatch/errors.py
+++ b/cranberryline/dispatch/errors.py
@@ -64,18 +64,18 @@
 class Refusal:
     """A final result without a complete response.
 
-    `ran` says whether the request was run, and `retry_after` when the caller may retry. `begun` is
-    set if a part of a response has already reached the caller; the connection must then be closed,
-    so that the caller does not treat the part as a complete response.
+    `ran` says whether the request was run, and `retry_after` when the caller may retry.
+    `response_started` is set if a part of a response has already reached the caller. The connection
+    must then be closed, so that the caller does not treat the part as a complete response.
     """
 
     reason: RefusalReason
     ran: Ran = Ran.NO
     retry_after: timedelta | None = None
     detail: str = ""
-    begun: bool = False
+    response_started: bool = False
 
-    def behind_runs(self, may_have_run: bool) -> "Refusal":
+    def after_possible_run(self, may_have_run: bool) -> "Refusal":
         """Return the refusal for a whole request of several attempts.
 
         If an earlier attempt may have run, the request must not be reported as not run.
--- a/cranberryline/dispatch/repeated.py
+++ b/cranberryline/dispatch/hedged.py
@@ -15,7 +15,7 @@
 from .errors import Ran, Refusal, RefusalReason
 from .model import CallerRequest, CollectingSink
 
-__all__ = ["AttemptSink", "RepeatedRequest"]
+__all__ = ["AttemptSink", "HedgedRequest"]
 
 STATUS_SERVER_ERROR = 500
 # A rejected request was not run, so it does not count as an attempt. This limit ends the request if
@@ -40,19 +40,19 @@
 
 
 @attrs.define
-class RepeatedRequest:
+class HedgedRequest:
     """Run one request until its first successful response.
 
-    At most `max_attempts` attempts may have run it. A hedged copy is sent to a second upstream after
-    `copy_after` without a response. `make` returns the request, given the ids of the upstreams to
-    avoid. `failures` counts the responses with a server error status.
+    At most `max_attempts` attempts may have run it. A hedged copy is sent to a second upstream
+    after `hedge_delay` without a response. `make` returns the request, given the ids of the
+    upstreams to avoid. `failures` counts the responses with a server error status.
     """
 
     dispatcher: Dispatcher
     budget: HedgeBudget
     metrics: Metrics
     make: Callable[[frozenset[str]], CallerRequest]
-    copy_after: timedelta
+    hedge_delay: timedelta
     max_attempts: int
     failures: int = 0
     clock: Clock | None = None
@@ -75,7 +75,7 @@
         self._start()
         hedged = self.max_attempts < 2  # noqa: PLR2004 - one attempt leaves none to hedge
         while self._running:
-            wait = None if hedged else self.copy_after.total_seconds()
+            wait = None if hedged else self.hedge_delay.total_seconds()
             done, _ = await asyncio.wait(
                 self._running, timeout=wait, return_when=asyncio.FIRST_COMPLETED
             )
@@ -113,7 +113,7 @@
 
         A copy of a request that crashes its upstream would crash a second one.
         """
-        return not self.dispatcher.suspects(self.make(frozenset()))
+        return not self.dispatcher.may_crash_upstream(self.make(frozenset()))
 
     def _should_retry(self) -> bool:
         """Return whether another upstream could succeed after the latest result."""
@@ -146,4 +146,4 @@
     def _final_refusal(self) -> Refusal:
         """Return the refusal for the request as a whole."""
         refusal = self._refusal or Refusal(RefusalReason.NO_UPSTREAM)
-        return refusal.behind_runs(self._may_have_run > 0)
+        return refusal.after_possible_run(self._may_have_run > 0)
--- a/cranberryline/dispatch/model.py
+++ b/cranberryline/dispatch/model.py
@@ -10,7 +10,7 @@
 
 from cranberryline.quarantine import fingerprint
 
-__all__ = ["AnswerSink", "CallerClass", "CallerRequest", "CollectingSink"]
+__all__ = ["CallerClass", "CallerRequest", "CollectingSink", "ResponseSink"]
 
 
 class CallerClass(enum.IntEnum):
@@ -33,8 +33,8 @@
     the same sample.
     `eligible` returns whether an upstream may serve the request; None means that any may.
     `max_attempts` limits how many upstreams run it; None means the limit of the retry policy.
-    `pace` returns how many of its tokens an upstream generates per second, 0 if that is not known;
-    None means the rate measured by the dispatcher.
+    `token_rate` returns how many tokens per second an upstream generates for this request, 0 if it
+    is not known; None means the rate measured by the dispatcher.
     `request_id` is the caller's id for this attempt, for the logs.
     `credential` distinguishes callers that share one `caller` name.
     """
@@ -55,7 +55,7 @@
     avoid: frozenset[str] = frozenset()
     eligible: Callable[[str], bool] | None = None
     max_attempts: int | None = None
-    pace: Callable[[str], float] | None = None
+    token_rate: Callable[[str], float] | None = None
     request_id: str = ""
     credential: str = ""
 
@@ -65,7 +65,7 @@
         return fingerprint(self.caller, self.credential, self.method, self.path, self.body)
 
 
-class AnswerSink(abc.ABC):
+class ResponseSink(abc.ABC):
     """Receive a response as it arrives.
 
     A sink with `can_restart` discards the partial response of an earlier attempt when the next
@@ -91,7 +91,7 @@
         """
 
 
-class CollectingSink(AnswerSink):
+class CollectingSink(ResponseSink):
     """Keep the complete response in memory."""
 
     can_restart = True
--- a/cranberryline/dispatch/outcomes.py
+++ b/cranberryline/dispatch/outcomes.py
@@ -22,8 +22,8 @@
 
 from .attempt import AttemptTrace
 from .errors import Refusal, RefusalReason
-from .lane import SlotReservation
 from .model import CallerRequest
+from .scheduler import SlotReservation
 
 __all__ = [
     "cooldown_after",
@@ -128,7 +128,7 @@
         host=req.caller,  # operators know a caller by the name of its host
         path=req.path.partition("?")[0],
         service=req.service,
-        upstream=reservation.upstream.peer.vm_id,
+        upstream=reservation.upstream.link.vm_id,
         reason=reason_text(outcome),
         not_run=isinstance(outcome, AttemptNotRun),
         ms=in_milliseconds(now - reservation.reserved_at),
@@ -169,7 +169,9 @@
     if isinstance(outcome, AttemptUnknown):
         reason = _refusal_reason(outcome.reason, RefusalReason.UPSTREAM_FAILED)
         return Refusal(reason, outcome.ran, retry_after, outcome.reason)
-    return Refusal(RefusalReason.UPSTREAM_FAILED, Ran.YES, detail=reason_text(outcome), begun=True)
+    return Refusal(
+        RefusalReason.UPSTREAM_FAILED, Ran.YES, detail=reason_text(outcome), response_started=True
+    )
 
 
 def _refusal_reason(text: str, default: RefusalReason) -> RefusalReason:
--- a/cranberryline/dispatch/lane.py
+++ b/cranberryline/dispatch/scheduler.py
@@ -30,9 +30,9 @@
 
 from .errors import Refusal, RefusalReason
 from .model import CallerRequest
-from .upstreams import PeerTable, Upstream
+from .upstreams import Upstream, UpstreamTable
 
-__all__ = ["ServiceLane", "SlotReservation"]
+__all__ = ["ServiceScheduler", "SlotReservation"]
 
 _ROUTING = RoutingPolicy()
 # A request that expires or finds no upstream after its admission may be retried this soon.
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class SlotReservation:
-    """A slot of an upstream for one request; it must be released by `ServiceLane.release`."""
+    """A slot of an upstream for one request; it must be released by `ServiceScheduler.release`."""
 
     item: WorkItem
     upstream: Upstream
@@ -60,7 +60,7 @@
     reservation: SlotReservation | None = None
 
 
-class ServiceLane:
+class ServiceScheduler:
     """Admit, queue and route the requests of one service.
 
     `shares` maps callers to their weights in the queue. It is a live view: a change of the
@@ -72,7 +72,7 @@
         service: str,
         clock: Clock,
         rng: Random,
-        peers: PeerTable,
+        upstreams: UpstreamTable,
         spec: Callable[[], ServiceSpec],
         shares: Mapping[str, float],
         data_center: str = "",
@@ -82,7 +82,7 @@
         self._data_center = data_center
         self._clock = clock
         self._rng = rng
-        self._peers = peers
+        self._upstreams = upstreams
         self._spec = spec
         self._queue = WorkQueue(0, QueueSettings(caller_weights=shares))
         self.shares = shares
@@ -129,7 +129,7 @@
             )
         return Ok(now + decision.start_within)
 
-    async def async_take_turn(
+    async def async_reserve_slot(
         self, req: CallerRequest, start_by: timedelta, avoid: frozenset[str]
     ) -> Result[SlotReservation, Refusal]:
         """Wait for a slot of an upstream; a refusal is final, and the attempt was not run."""
@@ -216,9 +216,9 @@
         spec = self._spec()
         eligible = waiter.req.eligible
         if eligible is not None:
-            free = [upstream for upstream in free if eligible(upstream.peer.vm_id)]
+            free = [upstream for upstream in free if eligible(upstream.link.vm_id)]
         views = [upstream.view(spec, now) for upstream in free]
-        token_rate = waiter.req.pace
+        token_rate = waiter.req.token_rate
         if token_rate is not None:
             views = [attrs.evolve(view, tokens_per_second=token_rate(view.id)) for view in views]
         excluded = waiter.avoid & {view.id for view in views}
@@ -236,7 +236,7 @@
             short=token_rate is None,
         )
         chosen = _ROUTING.choose(views, request, self._rng)
-        return None if chosen is None else self._peers.get(self._service, chosen)
+        return None if chosen is None else self._upstreams.get(self._service, chosen)
 
     def _expire_overdue(self) -> None:
         now = self._clock.monotonic()
@@ -270,13 +270,13 @@
         if not waiter.fut.done():
             waiter.fut.set_result(result)
 
-    def with_room(self) -> list[str]:
+    def upstreams_with_free_slots(self) -> list[str]:
         """Return the ids of the upstreams that have a free slot, as far as this node knows."""
-        return [upstream.peer.vm_id for upstream in self._upstreams_with_free_slots()]
+        return [upstream.link.vm_id for upstream in self._upstreams_with_free_slots()]
 
     def _upstreams_with_free_slots(self) -> list[Upstream]:
         spec, now = self._spec(), self._clock.monotonic()
-        return [up for up in self._peers.usable(self._service) if up.has_free_slot(spec, now)]
+        return [up for up in self._upstreams.usable(self._service) if up.has_free_slot(spec, now)]
 
     def _usable_slots(self) -> int:
         """Return how many slots this process can use; the queue's reserves are fractions of these.
@@ -286,7 +286,7 @@
         """
         spec, now = self._spec(), self._clock.monotonic()
         return sum(
-            upstream.usable_slots(spec, now) for upstream in self._peers.usable(self._service)
+            upstream.usable_slots(spec, now) for upstream in self._upstreams.usable(self._service)
         )
 
     def _limits(self) -> AdmissionLimits:
--- a/cranberryline/dispatch/upstreams.py
+++ b/cranberryline/dispatch/upstreams.py
@@ -9,7 +9,7 @@
 from cranberryline.transport import UpstreamLink
 from cranberryline.transport.const import HEARTBEAT_BUSY
 
-__all__ = ["PeerTable", "Upstream"]
+__all__ = ["Upstream", "UpstreamTable"]
 
 _HEALTH = HealthPolicy()
 # Twice the interval of load reports on a busy connection. On an idle connection reports are so rare
@@ -22,7 +22,7 @@
 class Upstream:
     """An upstream, its link, and its slots, token rate and health as tracked by this process."""
 
-    peer: UpstreamLink
+    link: UpstreamLink
     data_center: str
     token_rate: RateMeter = attrs.field(factory=RateMeter)
     health: HealthState = attrs.field(factory=HealthState)
@@ -70,45 +70,45 @@
 
     def view(self, spec: ServiceSpec, now: timedelta) -> UpstreamView:
         """Return the state of the upstream for routing."""
-        load = self.peer.load
+        load = self.link.load
         return UpstreamView(
-            id=self.peer.vm_id,
+            id=self.link.vm_id,
             data_center=self.data_center,
             slots=spec.concurrency,
             own_requests=self._own_requests(),
-            own_tokens=self.peer.outstanding_tokens,
+            own_tokens=self.link.outstanding_tokens,
             reported_requests=0 if load is None else load.running + load.queued,
             reported_tokens=0 if load is None else load.queued_tokens,
-            report_age=None if load is None else now - self.peer.load_at,
+            report_age=None if load is None else now - self.link.load_at,
             tokens_per_second=self.token_rate.tokens_per_second(now),
             weight_version=None if load is None else load.weight_version,
             health=_HEALTH.view(self.health, now),
-            draining=self.peer.draining,
-            connected=self.peer.connected,
+            draining=self.link.draining,
+            connected=self.link.connected,
             recently_refused=now < self._cooldown_until,
         )
 
     def _own_requests(self) -> int:
         """Return the own requests; reservations count before their requests are sent."""
-        return max(self.peer.outstanding, self._reserved_slots)
+        return max(self.link.outstanding, self._reserved_slots)
 
     def _others_requests(self, now: timedelta) -> int:
-        load = self.peer.load
-        if load is None or now - self.peer.load_at > _MAX_LOAD_REPORT_AGE:
+        load = self.link.load
+        if load is None or now - self.link.load_at > _MAX_LOAD_REPORT_AGE:
             return 0
-        return max(0, load.running + load.queued - self.peer.outstanding_at_load)
+        return max(0, load.running + load.queued - self.link.outstanding_at_load)
 
 
-class PeerTable:
+class UpstreamTable:
     """The upstreams of each service, by VM id."""
 
     def __init__(self) -> None:
         self._by_service: dict[str, dict[str, Upstream]] = {}
 
-    def add(self, service: str, peer: UpstreamLink, data_center: str) -> None:
+    def add(self, service: str, link: UpstreamLink, data_center: str) -> None:
         """Add an upstream of a service, or replace the one with the same VM id."""
         upstreams = self._by_service.setdefault(service, {})
-        upstreams[peer.vm_id] = Upstream(peer, data_center)
+        upstreams[link.vm_id] = Upstream(link, data_center)
 
     def remove(self, vm_id: str) -> None:
         """Remove an upstream from all services."""
@@ -117,7 +117,7 @@
 
     def usable(self, service: str) -> list[Upstream]:
         """Return the upstreams of a service that accept new requests."""
-        return [up for up in self._by_service.get(service, {}).values() if up.peer.usable]
+        return [up for up in self._by_service.get(service, {}).values() if up.link.usable]
 
     def get(self, service: str, vm_id: str) -> Upstream | None:
         """Return an upstream of a service, None if it is not in the table."""
@@ -125,4 +125,4 @@
 
     def all(self) -> list[UpstreamLink]:
         """Return the links to all upstreams."""
-        return [up.peer for upstreams in self._by_service.values() for up in upstreams.values()]
+        return [up.link for upstreams in self._by_service.values() for up in upstreams.values()]
--- a/cranberryline/entry/app.py
+++ b/cranberryline/entry/app.py
@@ -18,8 +18,8 @@
 from cranberryline.configs.publish import ConfigPublisher
 from cranberryline.configs.relay import RelayPort
 from cranberryline.dispatch.direct import DirectUpstreams
-from cranberryline.dispatch.dispatch import Dispatcher, ServiceBook
-from cranberryline.dispatch.upstreams import PeerTable
+from cranberryline.dispatch.dispatch import Dispatcher, ServiceCatalog
+from cranberryline.dispatch.upstreams import UpstreamTable
 from cranberryline.exit_code import ExitCode
 from cranberryline.helpers.clock import Clock, SystemClock
 from cranberryline.helpers.http_server import GracefulServer
@@ -107,7 +107,7 @@
         self.incarnation = uuid.uuid4().hex
         self.stopping = False
         self.metrics = Metrics()
-        self.table = PeerTable()
+        self.table = UpstreamTable()
         self.watch = MembershipWatch(HttpVmList(cfg.vm_list_url), clock, self.metrics)
         self.members = self.watch.membership
         self.notices = MemberNotices(self.members)
@@ -125,7 +125,7 @@
             self.metrics,
             checkpoints=CheckpointPolicy(cfg.log_retention),
         )
-        self.book = ServiceBook(self.sync.fold)
+        self.book = ServiceCatalog(self.sync.fold)
         self.dispatcher = Dispatcher(
             clock, random.Random(), self.table, self.book, self.metrics, cfg.data_center
         )
@@ -289,7 +289,7 @@
         return [vm.id for vm in self.members.entries()]
 
     def _on_revision(self, _: Revision) -> None:
-        self.directs.on_revision()
+        self.directs.update_concurrency()
         self.dispatcher.wake()
         self.steps.wake()
 
--- a/cranberryline/entry/links.py
+++ b/cranberryline/entry/links.py
@@ -5,7 +5,7 @@
 
 from cranberryline.decisions import SubsetChooser
 from cranberryline.dispatch.direct import DirectUpstream, DirectUpstreams
-from cranberryline.dispatch.upstreams import PeerTable
+from cranberryline.dispatch.upstreams import UpstreamTable
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.ports.model import VmEntry, VmRole
 from cranberryline.transport import DialerEvents, UpstreamLink
@@ -31,7 +31,7 @@
         self,
         dialing: Dialing,
         events: DialerEvents,
-        table: PeerTable,
+        table: UpstreamTable,
         metrics: Metrics,
         directs: DirectUpstreams,
     ) -> None:
@@ -110,7 +110,7 @@
         self._table.remove(vm_id)
         link = self._links.pop(vm_id)
         if isinstance(link, DirectUpstream):
-            self._directs.retire(link)
+            self._directs.drain(link)
             return
         task = self._dialers.release(vm_id)
         closing = asyncio.ensure_future(self._async_close_when_idle(link, task))
--- a/cranberryline/entry/proxy.py
+++ b/cranberryline/entry/proxy.py
@@ -14,10 +14,10 @@
 from tornado.httputil import HTTPHeaders
 from tornado.iostream import StreamClosedError
 
-from cranberryline.dispatch.attempt import CallerLeft
-from cranberryline.dispatch.dispatch import Dispatcher, ServiceBook
+from cranberryline.dispatch.attempt import CallerDisconnected
+from cranberryline.dispatch.dispatch import Dispatcher, ServiceCatalog
 from cranberryline.dispatch.errors import Ran, Refusal, RefusalReason
-from cranberryline.dispatch.model import AnswerSink, CallerClass, CallerRequest
+from cranberryline.dispatch.model import CallerClass, CallerRequest, ResponseSink
 from cranberryline.helpers.clock import Clock
 from cranberryline.helpers.http_headers import HOP_BY_HOP_HEADERS
 from cranberryline.helpers.http_server import break_off, break_off_if_closed
@@ -63,13 +63,13 @@
     clock: Clock
     metrics: Metrics
     dispatcher: Dispatcher
-    book: ServiceBook
+    book: ServiceCatalog
     tokens: TokenTable
     ready: Callable[[], bool]
     log: Logger
 
 
-class _HandlerSink(AnswerSink):
+class _HandlerSink(ResponseSink):
     """Write an answer to the caller as it arrives."""
 
     def __init__(self, handler: "_CallerHandler") -> None:
@@ -91,7 +91,7 @@
             if not last:
                 await self._handler.flush()
         except StreamClosedError as exc:
-            raise CallerLeft from exc
+            raise CallerDisconnected from exc
 
 
 class _CallerHandler(ProblemHandler):
@@ -148,7 +148,7 @@
             ran=refusal.ran.value,
             detail=refusal.detail,
         )
-        if self._headers_written or refusal.begun:
+        if self._headers_written or refusal.response_started:
             # The status has left: a tidy end would make a part look like the whole.
             break_off(self)
             return
@@ -219,7 +219,7 @@
         self, service: str, path: str, idempotent: bool, tokens: int = 0, prefix: str = ""
     ) -> Result[CallerRequest, Refusal]:
         """Check the headers and put the request together."""
-        if not self.context.book.knows(service):
+        if not self.context.book.has_service(service):
             return Err(Refusal(RefusalReason.UNKNOWN_SERVICE, detail=service[:100]))
         caller_class, deadline = self.caller_class(), self.deadline(service)
         repeatable = self.idempotent(idempotent)
@@ -308,7 +308,7 @@
         max_tokens = body.get("max_tokens", DEFAULT_MAX_TOKENS)
         if not isinstance(max_tokens, int) or isinstance(max_tokens, bool) or max_tokens < 1:
             return Err(_bad("max_tokens must be a whole number above 0"))
-        service = self.context.book.for_model(body["model"])
+        service = self.context.book.service_for_model(body["model"])
         if service is None:
             return Err(Refusal(RefusalReason.UNKNOWN_SERVICE, detail=body["model"][:100]))
         prompt = _prompt_text(body)
--- a/cranberryline/entry/rollouts.py
+++ b/cranberryline/entry/rollouts.py
@@ -9,9 +9,9 @@
 
 from cranberryline.configs import ConfigFold
 from cranberryline.decisions import rendezvous
-from cranberryline.dispatch.dispatch import Dispatcher, ServiceBook
+from cranberryline.dispatch.dispatch import Dispatcher, ServiceCatalog
 from cranberryline.dispatch.errors import Refusal
-from cranberryline.dispatch.model import AnswerSink, CallerClass, CallerRequest
+from cranberryline.dispatch.model import CallerClass, CallerRequest, ResponseSink
 from cranberryline.helpers.clock import Clock
 from cranberryline.ports.errors import PlatformError
 from cranberryline.ports.model import ScorePort
@@ -36,7 +36,7 @@
 STATUS_OK = 200
 
 
-class _SampleSink(AnswerSink):
+class _SampleSink(ResponseSink):
     """Feed an engine's stream to its attribution."""
 
     can_restart = True
@@ -64,7 +64,7 @@
 class DispatcherSamples(SampleDispatch):
     """Run completions as requests of class `trainer`, in their turn with everyone's."""
 
-    def __init__(self, dispatcher: Dispatcher, book: ServiceBook, clock: Clock) -> None:
+    def __init__(self, dispatcher: Dispatcher, book: ServiceCatalog, clock: Clock) -> None:
         self._dispatcher = dispatcher
         self._book = book
         self._clock = clock
@@ -73,7 +73,7 @@
         self, req: SampleRequest, on_dispatched: Callable[[str], None]
     ) -> Result[Completion, DispatchError]:
         """Return a whole, attributed completion; cancelling the call cancels the work."""
-        if not self._book.knows(req.service):
+        if not self._book.has_service(req.service):
             return Err(DispatchError(DiscardReason.FAILED, "the service is not configured"))
         sink = _SampleSink(on_dispatched)
         result = await self._dispatcher.async_run(self._request(req), sink)
--- a/cranberryline/gateway/app.py
+++ b/cranberryline/gateway/app.py
@@ -14,7 +14,7 @@
 
 from cranberryline.dispatch.direct import DirectUpstreams
 from cranberryline.dispatch.dispatch import Dispatcher
-from cranberryline.dispatch.upstreams import PeerTable
+from cranberryline.dispatch.upstreams import UpstreamTable
 from cranberryline.exit_code import ExitCode
 from cranberryline.helpers.clock import Clock, SystemClock
 from cranberryline.helpers.http_server import GracefulServer, InputLimits, open_http_server
@@ -82,7 +82,7 @@
         self.store = RelayedLog(platform.log, self._relay_peers, clock, self.metrics)
         self.directory = Directory(clock, self.health, run_soon)
         self.registrations = Registrations(platform, self.directory, self.routes, self.metrics)
-        self.table = PeerTable()
+        self.table = UpstreamTable()
         self.directs = DirectUpstreams(
             clock,
             self.metrics,
@@ -165,7 +165,7 @@
         self.jobs.book.listen(self._on_job)
         self.routes.listen(self._on_routes)
         self.directory.listen(self._on_registration)
-        self.directory.listen_superseded(self.directs.end)
+        self.directory.listen_superseded(self.directs.abort_requests)
         self.directory.membership.listen(self._on_members)
 
     @property
@@ -327,13 +327,13 @@
             # would be lost.
             server.conn_params.header_timeout = table.limits.idle_timeout.total_seconds()
         _LOGGER.info("config_applied", version=table.version, routes=len(table.routes))
-        self.directs.on_revision()
+        self.directs.update_concurrency()
         self._wake()
 
     def _on_registration(self, row: Registration) -> None:
         if self.routes.set_slots(row.service, row.slots):
             # The lane gives turns by the new number; what the ways do not let run would wait unseen in them.
-            self.directs.on_revision()
+            self.directs.update_concurrency()
 
     def _on_members(self) -> None:
         self.links.apply(self.directory.membership)
--- a/cranberryline/gateway/ingress.py
+++ b/cranberryline/gateway/ingress.py
@@ -9,10 +9,10 @@
 from tornado.iostream import StreamClosedError
 
 from cranberryline.decisions.hedging import hedge_delay
-from cranberryline.dispatch.attempt import CallerLeft
+from cranberryline.dispatch.attempt import CallerDisconnected
 from cranberryline.dispatch.errors import Ran, Refusal, RefusalReason
+from cranberryline.dispatch.hedged import AttemptSink, HedgedRequest
 from cranberryline.dispatch.model import CallerClass, CallerRequest
-from cranberryline.dispatch.repeated import AttemptSink, RepeatedRequest
 from cranberryline.helpers.clock import in_milliseconds
 from cranberryline.helpers.http_headers import HOP_BY_HOP_HEADERS
 from cranberryline.helpers.http_server import break_off
@@ -125,7 +125,7 @@
         deadline = self._began + patience
         outcome: Result[AttemptSink, Refusal]
         if route.repeatable:
-            repeated = RepeatedRequest(
+            repeated = HedgedRequest(
                 ctx.dispatcher,
                 ctx.hedges,
                 ctx.metrics,
@@ -186,7 +186,7 @@
             self._write_answer(answer, route)
             return
         refusal = ended.unwrap_err()
-        if not refusal.begun:
+        if not refusal.response_started:
             self._write_refusal(refusal, route)
             return
         ctx.metrics.fail("stream_cut")
@@ -209,7 +209,7 @@
         try:
             await self.flush()
         except StreamClosedError as exc:
-            raise CallerLeft from exc
+            raise CallerDisconnected from exc
 
     def _upstream_request(
         self, route: Route, deadline: timedelta, avoid: frozenset[str], attempts: int
--- a/cranberryline/gateway/links.py
+++ b/cranberryline/gateway/links.py
@@ -1,7 +1,7 @@
 """The gateway's ways to upstreams, each reached without a side process."""
 
 from cranberryline.dispatch.direct import DirectUpstream, DirectUpstreams
-from cranberryline.dispatch.upstreams import PeerTable
+from cranberryline.dispatch.upstreams import UpstreamTable
 from cranberryline.ports.model import VmEntry
 from cranberryline.upstreams import Membership
 
@@ -11,7 +11,7 @@
 class DirectLinks:
     """Keep a direct way to each upstream that takes new work."""
 
-    def __init__(self, table: PeerTable, directs: DirectUpstreams) -> None:
+    def __init__(self, table: UpstreamTable, directs: DirectUpstreams) -> None:
         self._table = table
         self._directs = directs
         self._links: dict[str, tuple[VmEntry, DirectUpstream]] = {}
@@ -21,7 +21,7 @@
         rows = {vm.id: vm for vm in members.upstreams()}
         for vm_id in [key for key, (row, _) in self._links.items() if rows.get(key) != row]:
             self._table.remove(vm_id)
-            self._directs.retire(self._links.pop(vm_id)[1])
+            self._directs.drain(self._links.pop(vm_id)[1])
         for vm_id in sorted(rows.keys() - self._links.keys()):
             row = rows[vm_id]
             link = self._directs.make(row)
--- a/cranberryline/gateway/streams.py
+++ b/cranberryline/gateway/streams.py
@@ -5,10 +5,10 @@
 import attrs
 from result import Err, Ok, Result
 
-from cranberryline.dispatch.attempt import CallerLeft
+from cranberryline.dispatch.attempt import CallerDisconnected
 from cranberryline.dispatch.dispatch import Dispatcher
 from cranberryline.dispatch.errors import Ran, Refusal, RefusalReason
-from cranberryline.dispatch.model import AnswerSink, CallerRequest
+from cranberryline.dispatch.model import CallerRequest, ResponseSink
 from cranberryline.jobs.events import EventReader
 from cranberryline.jobs.ports import HeaderPairs
 
@@ -27,7 +27,7 @@
     events: Callable[[bytes], Awaitable[None]]
 
 
-class _Sink(AnswerSink):
+class _Sink(ResponseSink):
     """Take one upstream's part of a stream, or its whole answer if it is no stream."""
 
     def __init__(self, run: "StreamRun") -> None:
@@ -73,7 +73,7 @@
 
     def _leave(self) -> None:
         self.broken = True
-        raise CallerLeft
+        raise CallerDisconnected
 
 
 @attrs.define
@@ -108,7 +108,9 @@
             may_go_on = self.resumable or (refusal.ran is Ran.NO and not sink.status)
             spent = runs >= self.max_attempts or turned_away > _MAX_TURNED_AWAY
             if not may_go_on or spent or refusal.reason in _FINAL:
-                return Err(attrs.evolve(refusal.behind_runs(runs > 0), begun=self.begun))
+                return Err(
+                    attrs.evolve(refusal.after_possible_run(runs > 0), response_started=self.begun)
+                )
 
     def _refusal(self, outcome: Result[str, Refusal]) -> Refusal:
         if isinstance(outcome, Err):
--- a/cranberryline/jobs/item.py
+++ b/cranberryline/jobs/item.py
@@ -9,8 +9,8 @@
 from cranberryline.decisions.hedging import scoring_hedge_delay
 from cranberryline.decisions.moving import MAX_MOVES
 from cranberryline.dispatch.errors import Ran, Refusal, RefusalReason
+from cranberryline.dispatch.hedged import HedgedRequest
 from cranberryline.dispatch.model import CallerClass, CallerRequest
-from cranberryline.dispatch.repeated import RepeatedRequest
 from cranberryline.helpers.logging import get_logger
 from cranberryline.routes import Route
 
@@ -242,7 +242,7 @@
             avoid=self._avoided_upstreams,
             eligible=eligible,
             max_attempts=1,
-            pace=self._tokens_per_second,
+            token_rate=self._tokens_per_second,
             request_id=self.item.id,
         )
         monitor = RunMonitor(self.context, self.item, self.text, req, sink)
@@ -308,7 +308,7 @@
             await self._async_back_off()
         return None
 
-    def _make_score_request(self, scorer: Scorer, route: Route, service: str) -> RepeatedRequest:
+    def _make_score_request(self, scorer: Scorer, route: Route, service: str) -> HedgedRequest:
         """Return the scoring request, which is hedged at another upstream if its answer is slow."""
         deadline = self.context.clock.monotonic() + _SCORE_TIMEOUT
 
@@ -331,7 +331,7 @@
         attempts = min(route.max_attempts, _MAX_SCORE_ATTEMPTS)
         context = self.context
         hedge_delay = scoring_hedge_delay(route.goal)
-        return RepeatedRequest(
+        return HedgedRequest(
             context.dispatcher,
             context.hedge_budget,
             context.metrics,
--- a/cranberryline/jobs/run_monitor.py
+++ b/cranberryline/jobs/run_monitor.py
@@ -52,7 +52,7 @@
         current_pace = paces.events_per_second(self._sink.upstream, now)
         other_paces = [
             paces.events_per_second(upstream, now)
-            for upstream in self._context.dispatcher.with_room(self._req.service)
+            for upstream in self._context.dispatcher.upstreams_with_free_slots(self._req.service)
             if upstream != self._sink.upstream and self._may_serve(upstream)
         ]
         return should_move(events_left, current_pace, other_paces)
--- a/cranberryline/jobs/runner.py
+++ b/cranberryline/jobs/runner.py
@@ -108,7 +108,7 @@
             dependencies.clock,
             dependencies.metrics,
             self._rng,
-            ScoringSlots(dependencies.dispatcher.places),
+            ScoringSlots(dependencies.dispatcher.total_slots),
             dependencies.jobs.book.completed,
             dependencies.jobs.freshness,
             dependencies.jobs.book.find_partial_text,
--- a/cranberryline/jobs/sink.py
+++ b/cranberryline/jobs/sink.py
@@ -2,8 +2,8 @@
 
 from datetime import timedelta
 
-from cranberryline.dispatch.attempt import CallerLeft
-from cranberryline.dispatch.model import AnswerSink
+from cranberryline.dispatch.attempt import CallerDisconnected
+from cranberryline.dispatch.model import ResponseSink
 
 from .events import EventReader, ItemText
 from .item_context import ItemContext
@@ -18,7 +18,7 @@
 _MAX_TRACKED_UPSTREAMS = 10_000
 
 
-class TextSink(AnswerSink):
+class TextSink(ResponseSink):
     """Collects the events of an item, and aborts a response that cannot be used."""
 
     def __init__(
@@ -130,4 +130,4 @@
     def _abort(self, reason: str) -> None:
         """Abort the request, since the rest of its response cannot be used."""
         self.abort_reason = reason
-        raise CallerLeft
+        raise CallerDisconnected
--- a/cranberryline/routes/active.py
+++ b/cranberryline/routes/active.py
@@ -58,7 +58,7 @@
         self._specs.pop(service, None)
         return True
 
-    def knows(self, service: str) -> bool:
+    def has_service(self, service: str) -> bool:
         """Return whether the active table lists the service or `set_slots` was called for it."""
         return service in self._slots or (self.table is not None and service in self.table.services)
 
--- a/tests/dispatch/conftest.py
+++ b/tests/dispatch/conftest.py
@@ -9,9 +9,9 @@
 import pytest
 
 from cranberryline.configs import ConfigFold, Kind
-from cranberryline.dispatch.dispatch import Dispatcher, ServiceBook
+from cranberryline.dispatch.dispatch import Dispatcher, ServiceCatalog
 from cranberryline.dispatch.model import CallerClass, CallerRequest
-from cranberryline.dispatch.upstreams import PeerTable
+from cranberryline.dispatch.upstreams import UpstreamTable
 from cranberryline.helpers.clock import Clock, SystemClock
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.ports.model import LogRecord
@@ -28,21 +28,21 @@
     Withdrawn,
 )
 
-Script = Callable[["FakeSide", Exchange, Submit], None]
+Script = Callable[["FakeSideProcess", Exchange, Submit], None]
 
 
-def echo_response(side: "FakeSide", exchange: Exchange, msg: Submit) -> None:
+def echo_response(side: "FakeSideProcess", exchange: Exchange, msg: Submit) -> None:
     """Respond immediately and echo the request's body."""
     exchange.push(Head(msg.id, 200, ()))
     exchange.push(Chunk(msg.id, 0, msg.body))
     exchange.push(End(msg.id, 1))
 
 
-def no_response(side: "FakeSide", exchange: Exchange, msg: Submit) -> None:
+def no_response(side: "FakeSideProcess", exchange: Exchange, msg: Submit) -> None:
     """Send no response."""
 
 
-class FakeSide:
+class FakeSideProcess:
     """Fake of a connection to a side process; `script` responds to each request."""
 
     _ids = itertools.count(1)
@@ -103,7 +103,7 @@
         return any(isinstance(msg, Cancel) for msg in self.sent)
 
 
-class Bench:
+class DispatcherHarness:
     """A dispatcher over fake side processes of one service."""
 
     service = "dossiers"
@@ -112,8 +112,8 @@
         self.clock = clock
         self.fold = ConfigFold()
         self.metrics = Metrics()
-        self.table = PeerTable()
-        self.book = ServiceBook(self.fold)
+        self.table = UpstreamTable()
+        self.book = ServiceCatalog(self.fold)
         self.dispatcher = Dispatcher(clock, Random(7), self.table, self.book, self.metrics)
         self.publish("service", self.service, {"type": "plain", "concurrency": 2, **spec})
 
@@ -128,14 +128,14 @@
         record = LogRecord(offset, datetime(2026, 1, 1, tzinfo=UTC), f"r{offset}", data)
         self.fold.apply(record).unwrap()
 
-    def publish_again(self, **spec: Any) -> None:
+    def amend_service(self, **spec: Any) -> None:
         """Amend the service's record in the configuration."""
         amends = self.fold.offset
         self.publish("service", self.service, {"type": "plain", "concurrency": 2, **spec}, amends)
 
-    def side(self, vm_id: str, script: Script = echo_response) -> FakeSide:
+    def add_upstream(self, vm_id: str, script: Script = echo_response) -> FakeSideProcess:
         """Add an upstream with a fake side process."""
-        side = FakeSide(vm_id, script)
+        side = FakeSideProcess(vm_id, script)
         self.table.add(self.service, side, "levis")  # type: ignore[arg-type]
         return side
 
@@ -156,6 +156,6 @@
 
 
 @pytest.fixture
-def harness() -> Bench:
+def harness() -> DispatcherHarness:
     """Return a dispatcher whose service runs two requests at a time on each upstream."""
-    return Bench(SystemClock())
+    return DispatcherHarness(SystemClock())
--- a/tests/dispatch/test_direct.py
+++ b/tests/dispatch/test_direct.py
@@ -27,7 +27,7 @@
 from tests.execution.conftest import FakeUpstream
 from tests.requests.scripted_log import ScriptedLog
 
-from .conftest import Bench
+from .conftest import DispatcherHarness
 
 _DEFAULT_TIMEOUT = timedelta(seconds=5)
 _CUT = PlatformError(PlatformReason.CUT, may_have_run=True)
@@ -37,7 +37,7 @@
 class DirectHarness:
     """A dispatcher with direct links to fake upstreams and a scripted log."""
 
-    def __init__(self, harness: Bench) -> None:
+    def __init__(self, harness: DispatcherHarness) -> None:
         self.harness = harness
         self.log = ScriptedLog(FakeClock())
         self.log.script = []
@@ -91,7 +91,7 @@
 
 
 @pytest.fixture
-def direct(harness: Bench) -> DirectHarness:
+def direct(harness: DispatcherHarness) -> DirectHarness:
     """Return a dispatcher without upstreams."""
     return DirectHarness(harness)
 
@@ -178,7 +178,7 @@
         _, upstream = direct.add("up-1")
         upstream.cut = True
         refusal = (await direct.async_run_request(_CallerSink(), idempotent=False)).unwrap_err()
-        assert (refusal.ran, refusal.begun) == (Ran.YES, True)
+        assert (refusal.ran, refusal.response_started) == (Ran.YES, True)
 
     run_test(async_main())
 
@@ -189,7 +189,7 @@
     The caller of a non-idempotent call disconnects while the upstream still runs it. A request sent
     in the meantime must wait for the slot, and start when the run ends without any other event.
     """
-    direct.harness.publish_again(concurrency=1)
+    direct.harness.amend_service(concurrency=1)
 
     async def async_main() -> None:
         link, upstream = direct.add("up-1")
@@ -334,8 +334,8 @@
     """A changed concurrency in the configuration does not reach the links that exist."""
     link, _ = direct.add("up-1")
     assert link.runner.concurrency == 2
-    direct.harness.publish_again(concurrency=5)
-    direct.direct_links.on_revision()
+    direct.harness.amend_service(concurrency=5)
+    direct.direct_links.update_concurrency()
     assert link.runner.concurrency == 5
 
 
@@ -360,8 +360,8 @@
         assert started == bool(upstream.runs)
         _, other = direct.add("up-2")
         direct.harness.table.remove("up-1")
-        direct.direct_links.retire(link)
-        direct.direct_links.end("up-1")
+        direct.direct_links.drain(link)
+        direct.direct_links.abort_requests("up-1")
         async with asyncio.timeout(0.5):
             result = await task
         if idempotent:
@@ -384,13 +384,13 @@
         task = asyncio.ensure_future(direct.async_run_request(idempotent=False))
         await async_until(lambda: bool(upstream.bodies))
         direct.harness.table.remove("up-0")
-        direct.direct_links.retire(link)
+        direct.direct_links.drain(link)
         for number in range(1, 9):
             removed, _ = direct.add(f"up-{number}")
             direct.harness.table.remove(f"up-{number}")
-            direct.direct_links.retire(removed)
+            direct.direct_links.drain(removed)
         assert len(direct.direct_links._links) < 9
-        direct.direct_links.end("up-0")
+        direct.direct_links.abort_requests("up-0")
         async with asyncio.timeout(0.5):
             assert (await task).unwrap_err().ran is not Ran.NO
 
--- a/tests/dispatch/test_eligibility.py
+++ b/tests/dispatch/test_eligibility.py
@@ -13,11 +13,13 @@
 from cranberryline.upstreams.directory import Registration
 from tests.execution.conftest import FakeUpstream
 
-from .conftest import Bench
+from .conftest import DispatcherHarness
 from .test_direct import DirectHarness, direct_vm, run_test
 
 
-def test_request_that_became_ineligible_after_its_reservation_is_not_sent(harness: Bench) -> None:
+def test_request_that_became_ineligible_after_its_reservation_is_not_sent(
+    harness: DispatcherHarness,
+) -> None:
     """A request is sent to an upstream that became ineligible after the slot was reserved.
 
     The event loop may do other work between the reservation and the sending. Here the upstream is
--- a/tests/dispatch/test_guard.py
+++ b/tests/dispatch/test_guard.py
@@ -14,7 +14,7 @@
 from cranberryline.transport import Exchange
 from cranberryline.transport.model import Chunk, End, Failed, Head, NotRun, Submit
 
-from .conftest import Bench, FakeSide, Script
+from .conftest import DispatcherHarness, FakeSideProcess, Script
 
 
 @attrs.define
@@ -51,7 +51,7 @@
         self.cleared.append(request)
 
 
-def _guarded(harness: Bench, **fields: int) -> _Guard:
+def _guarded(harness: DispatcherHarness, **fields: int) -> _Guard:
     guard = _Guard(**fields)
     harness.dispatcher._guard = guard
     return guard
@@ -62,7 +62,7 @@
 ) -> Script:
     """Return a script that fails before the response, or the given time after its start."""
 
-    def script(side: FakeSide, exchange: Exchange, msg: Submit) -> None:
+    def script(side: FakeSideProcess, exchange: Exchange, msg: Submit) -> None:
         if failed_after_ms is None or clock is None:
             exchange.push(Failed(msg.id, reason, "unknown"))
             return
@@ -88,11 +88,11 @@
     ],
 )
 def test_only_a_closed_connection_is_reported_as_a_possible_crash(
-    harness: Bench, reason: str, reported: bool
+    harness: DispatcherHarness, reason: str, reported: bool
 ) -> None:
     """A timeout, or a restart that is already known, is reported as a possible crash."""
     guard = _guarded(harness)
-    harness.side("up-1", _failing_script(reason))
+    harness.add_upstream("up-1", _failing_script(reason))
     req = harness.request(request_id="r1", path="/x?secret=1", idempotent=False)
     asyncio.run(harness.dispatcher.async_run(req, CollectingSink()))
     expected = BrokenRun(req.fingerprint, "r1", req.caller, "/x", req.service, "up-1")
@@ -108,49 +108,55 @@
     Only failures before a response or in its first 500 ms are reported.
     """
     clock = FakeClock()
-    harness = Bench(clock)
+    harness = DispatcherHarness(clock)
     guard = _guarded(harness)
-    harness.side("up-1", _failing_script("upstream_cut", clock, failed_after_ms))
+    harness.add_upstream("up-1", _failing_script("upstream_cut", clock, failed_after_ms))
     req = harness.request(idempotent=False, deadline=clock.monotonic() + timedelta(seconds=9))
     asyncio.run(harness.dispatcher.async_run(req, CollectingSink()))
     assert bool(guard.broken) == reported
 
 
-def test_rejection_by_the_upstream_is_not_reported_as_a_possible_crash(harness: Bench) -> None:
+def test_rejection_by_the_upstream_is_not_reported_as_a_possible_crash(
+    harness: DispatcherHarness,
+) -> None:
     """A request that the upstream rejected as not run is reported as a possible crash."""
     guard = _guarded(harness)
-    harness.side("up-1", lambda _side, exchange, msg: exchange.push(NotRun(msg.id, "draining", 0)))
+    harness.add_upstream(
+        "up-1", lambda _side, exchange, msg: exchange.push(NotRun(msg.id, "draining", 0))
+    )
     asyncio.run(harness.dispatcher.async_run(harness.request(), CollectingSink()))
     assert guard.broken == []
 
 
-def test_request_in_quarantine_is_not_sent(harness: Bench) -> None:
+def test_request_in_quarantine_is_not_sent(harness: DispatcherHarness) -> None:
     """A request in quarantine is sent to an upstream.
 
     It must be refused as not run, with the time until its next trial run.
     """
     _guarded(harness, holds_after=0)
-    side = harness.side("up-1")
+    side = harness.add_upstream("up-1")
     result = asyncio.run(harness.dispatcher.async_run(harness.request(), CollectingSink()))
     refusal = result.unwrap_err()
     assert (refusal.reason, refusal.ran) == (RefusalReason.HELD, Ran.NO)
     assert refusal.retry_after == timedelta(seconds=7) and not side.submits
 
 
-def test_request_held_after_its_first_attempt_is_reported_as_unknown(harness: Bench) -> None:
+def test_request_held_after_its_first_attempt_is_reported_as_unknown(
+    harness: DispatcherHarness,
+) -> None:
     """A second run crashes another upstream, or the request is reported as not run."""
     _guarded(harness, holds_after=1)
-    sides = [harness.side(f"up-{n}", _failing_script("upstream_cut")) for n in range(3)]
+    sides = [harness.add_upstream(f"up-{n}", _failing_script("upstream_cut")) for n in range(3)]
     result = asyncio.run(harness.dispatcher.async_run(harness.request(), CollectingSink()))
     refusal = result.unwrap_err()
     assert (refusal.reason, refusal.ran) == (RefusalReason.HELD, Ran.UNKNOWN)
     assert sum(len(side.submits) for side in sides) == 1
 
 
-def test_trial_run_is_not_retried(harness: Bench) -> None:
+def test_trial_run_is_not_retried(harness: DispatcherHarness) -> None:
     """The trial run fails, and a retry of it crashes another upstream."""
     guard = _guarded(harness, holds_after=0, trials=1)
-    sides = [harness.side(f"up-{n}", _failing_script("upstream_cut")) for n in range(3)]
+    sides = [harness.add_upstream(f"up-{n}", _failing_script("upstream_cut")) for n in range(3)]
     result = asyncio.run(harness.dispatcher.async_run(harness.request(), CollectingSink()))
     assert result.unwrap_err().ran is Ran.UNKNOWN
     assert sum(len(side.submits) for side in sides) == 1 and len(guard.broken) == 1
@@ -158,16 +164,16 @@
 
 @pytest.mark.parametrize(("status", "is_cleared"), [(200, True), (404, True), (500, False)])
 def test_only_responses_without_a_server_error_clear_a_request(
-    harness: Bench, status: int, is_cleared: bool
+    harness: DispatcherHarness, status: int, is_cleared: bool
 ) -> None:
     """A request is cleared by a server error, although it may crash the next upstream."""
     guard = _guarded(harness)
 
-    def script(side: FakeSide, exchange: Exchange, msg: Submit) -> None:
+    def script(side: FakeSideProcess, exchange: Exchange, msg: Submit) -> None:
         exchange.push(Head(msg.id, status, ()))
         exchange.push(End(msg.id, 0))
 
-    harness.side("up-1", script)
+    harness.add_upstream("up-1", script)
     req = harness.request()
     asyncio.run(harness.dispatcher.async_run(req, CollectingSink()))
     assert guard.cleared == ([req.fingerprint] if is_cleared else [])
--- a/tests/dispatch/test_repeated.py
+++ b/tests/dispatch/test_hedged.py
@@ -9,8 +9,8 @@
 
 from cranberryline.decisions.hedging import HedgeBudget
 from cranberryline.dispatch.errors import Ran, Refusal, RefusalReason
-from cranberryline.dispatch.model import AnswerSink, CallerRequest
-from cranberryline.dispatch.repeated import AttemptSink, RepeatedRequest
+from cranberryline.dispatch.hedged import AttemptSink, HedgedRequest
+from cranberryline.dispatch.model import CallerRequest, ResponseSink
 from cranberryline.helpers.metrics import Metrics
 from tests.virtual_time import run_virtual
 
@@ -26,7 +26,7 @@
         self.statuses = list(statuses)
         self.call_count = 0
 
-    async def async_run(self, _req: CallerRequest, sink: AnswerSink) -> Result[str, Refusal]:
+    async def async_run(self, _req: CallerRequest, sink: ResponseSink) -> Result[str, Refusal]:
         """Respond or refuse immediately; more than `MAX_CALLS` calls show an endless loop."""
         self.call_count += 1
         assert self.call_count < MAX_CALLS
@@ -38,7 +38,7 @@
 
 
 def _run(dispatcher: ScriptedDispatcher, max_attempts: int = 3) -> Result[AttemptSink, Refusal]:
-    req = RepeatedRequest(
+    req = HedgedRequest(
         cast(Any, dispatcher),
         HedgeBudget(),
         Metrics(),
--- a/tests/dispatch/test_lane_room.py
+++ b/tests/dispatch/test_scheduler_slots.py
@@ -9,25 +9,27 @@
 from cranberryline.helpers.clock import SystemClock
 from cranberryline.transport.model import Load
 
-from .conftest import Bench, FakeSide, no_response
+from .conftest import DispatcherHarness, FakeSideProcess, no_response
 
 CONCURRENCY = 8
 
 
 @pytest.fixture
-def wide_harness() -> Bench:
+def wide_harness() -> DispatcherHarness:
     """Return a dispatcher whose service runs eight requests at a time on each upstream."""
-    return Bench(SystemClock(), concurrency=CONCURRENCY)
+    return DispatcherHarness(SystemClock(), concurrency=CONCURRENCY)
 
 
-def _set_load_report(side: FakeSide, others: int) -> None:
+def _set_load_report(side: FakeSideProcess, others: int) -> None:
     """Make a side process report `others` requests of other entries besides the own ones."""
     side.outstanding_at_load = side.outstanding
     side.load_at = SystemClock().monotonic()
     side.load = Load(side.outstanding + others, 0, 0, CONCURRENCY, None, 0)
 
 
-def _start_requests(harness: Bench, caller: str, count: int) -> list[asyncio.Task[object]]:
+def _start_requests(
+    harness: DispatcherHarness, caller: str, count: int
+) -> list[asyncio.Task[object]]:
     return [
         asyncio.ensure_future(
             harness.dispatcher.async_run(harness.request(caller=caller), CollectingSink())
@@ -42,13 +44,16 @@
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def test_each_freed_slot_is_reserved_once(wide_harness: Bench) -> None:
+def test_each_freed_slot_is_reserved_once(wide_harness: DispatcherHarness) -> None:
     """More requests are sent than slots are free, because reservations are not counted.
 
     The load reports show one free slot on each of two upstreams. All slots are reserved before the
     first request is sent, so a reservation must count as a request.
     """
-    sides = [wide_harness.side("up-1", no_response), wide_harness.side("up-2", no_response)]
+    sides = [
+        wide_harness.add_upstream("up-1", no_response),
+        wide_harness.add_upstream("up-2", no_response),
+    ]
 
     async def async_main() -> None:
         for side in sides:
@@ -66,13 +71,18 @@
     asyncio.run(async_main())
 
 
-def test_reserve_for_other_callers_is_kept_if_another_entry_uses_half(wide_harness: Bench) -> None:
+def test_reserve_for_other_callers_is_kept_if_another_entry_uses_half(
+    wide_harness: DispatcherHarness,
+) -> None:
     """A heavy caller takes all slots, because the reserve is computed from all slots that exist.
 
     Another entry uses half of the slots of each upstream. The heavy caller may use all others but
     the reserve, so that a caller with few requests is served immediately.
     """
-    sides = [wide_harness.side("up-1", no_response), wide_harness.side("up-2", no_response)]
+    sides = [
+        wide_harness.add_upstream("up-1", no_response),
+        wide_harness.add_upstream("up-2", no_response),
+    ]
 
     async def async_main() -> None:
         for side in sides:
@@ -90,9 +100,9 @@
     asyncio.run(async_main())
 
 
-def test_reservation_of_a_disconnected_caller_is_released(wide_harness: Bench) -> None:
+def test_reservation_of_a_disconnected_caller_is_released(wide_harness: DispatcherHarness) -> None:
     """A slot stays reserved if the caller disconnects just as it is reserved."""
-    side = wide_harness.side("up-1", no_response)
+    side = wide_harness.add_upstream("up-1", no_response)
 
     async def async_main() -> None:
         _set_load_report(side, CONCURRENCY)
@@ -110,13 +120,15 @@
     asyncio.run(async_main())
 
 
-def test_old_report_of_full_upstreams_does_not_delay_a_caller(wide_harness: Bench) -> None:
+def test_old_report_of_full_upstreams_does_not_delay_a_caller(
+    wide_harness: DispatcherHarness,
+) -> None:
     """A caller of an idle entry waits although the upstream is free again.
 
     The last load report is seconds old and shows no free slot. An idle connection gets a report
     only every five seconds, and the requests of the other entry may have ended long before.
     """
-    side = wide_harness.side("up-1")
+    side = wide_harness.add_upstream("up-1")
 
     async def async_main() -> None:
         _set_load_report(side, CONCURRENCY)
--- a/tests/entry/test_proxy.py
+++ b/tests/entry/test_proxy.py
@@ -18,12 +18,12 @@
 from cranberryline.helpers.tokens import Identity, Role, TokenTable
 from cranberryline.transport import Exchange
 from cranberryline.transport.model import Chunk, Failed, Head, Submit
-from tests.dispatch.conftest import Bench, FakeSide
+from tests.dispatch.conftest import DispatcherHarness, FakeSideProcess
 
 TOKEN = "a-token-of-sixteen-characters"
 
 
-def _cut(side: FakeSide, exchange: Exchange, msg: Submit) -> None:
+def _cut(side: FakeSideProcess, exchange: Exchange, msg: Submit) -> None:
     exchange.push(Head(msg.id, 200, (("Content-Type", "text/plain"),)))
     exchange.push(Chunk(msg.id, 0, b"a part"))
     exchange.push(Failed(msg.id, "upstream_cut", "yes"))
@@ -34,12 +34,12 @@
 
     def __init__(self, runner: asyncio.Runner) -> None:
         self._runner = runner
-        self.bench = Bench(SystemClock())
+        self.bench = DispatcherHarness(SystemClock())
         self.bench.publish("service", "redacteurs", {"type": "engine", "model": "rooms"})
         self.bench.publish("caller", "routing", {"share": 1, "class": "background"})
-        self.side = self.bench.side("up-1")
+        self.side = self.bench.add_upstream("up-1")
         self.bench.service = "redacteurs"
-        self.engine = self.bench.side("up-2")
+        self.engine = self.bench.add_upstream("up-2")
         self.ready = True
         self.server, self.port = runner.run(self._async_listen())
 
--- a/tests/gateway/test_links.py
+++ b/tests/gateway/test_links.py
@@ -8,7 +8,7 @@
 import attrs
 
 from cranberryline.dispatch.direct import DirectUpstreams
-from cranberryline.dispatch.upstreams import PeerTable
+from cranberryline.dispatch.upstreams import UpstreamTable
 from cranberryline.gateway.links import DirectLinks
 from cranberryline.helpers.clock import FakeClock
 from cranberryline.helpers.metrics import Metrics
@@ -23,7 +23,7 @@
     """A directory and the ways that follow it."""
 
     def __init__(self) -> None:
-        clock, metrics, self.table = FakeClock(), Metrics(), PeerTable()
+        clock, metrics, self.table = FakeClock(), Metrics(), UpstreamTable()
         self.made: list[VmEntry] = []
         self.directory = Directory(clock, StoreHealth(clock))
         directs = DirectUpstreams(
@@ -55,7 +55,7 @@
     ways.directory.put(attrs.evolve(ROW, born=200))
     (again,) = ways.table.usable("files")
     assert again is not former and again.health == type(again.health)()
-    assert again.peer.outstanding == 0 and not former.peer.usable
+    assert again.link.outstanding == 0 and not former.link.usable
     assert [row.name for row in ways.made] == ["i-1", "i-1"]
 
 
--- a/tests/jobs/engine_harness.py
+++ b/tests/jobs/engine_harness.py
@@ -12,7 +12,7 @@
 
 from cranberryline.dispatch.direct import DirectUpstreams
 from cranberryline.dispatch.dispatch import Dispatcher
-from cranberryline.dispatch.upstreams import PeerTable
+from cranberryline.dispatch.upstreams import UpstreamTable
 from cranberryline.gateway.links import DirectLinks
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.helpers.tail import StoreHealth
@@ -100,7 +100,7 @@
     """A gateway's directory and dispatcher with connections to fake engines, for running items."""
 
     def __init__(self) -> None:
-        clock, metrics, table = LoopClock(), Metrics(), PeerTable()
+        clock, metrics, table = LoopClock(), Metrics(), UpstreamTable()
         self.engines: dict[str, FakeEngine] = {}
         self.directory = Directory(clock, StoreHealth(clock))
         routes = ActiveRoutes()
@@ -122,7 +122,7 @@
             self._wake()
 
         self.directory.membership.listen(on_members)
-        self.directory.listen_superseded(directs.end)
+        self.directory.listen_superseded(directs.abort_requests)
         self.directory.listen(lambda row: routes.set_slots(row.service, row.slots))
         self.context = ItemContext(
             cast(Any, make_routes()),
@@ -132,7 +132,7 @@
             clock,
             metrics,
             Random(1),
-            ScoringSlots(self.dispatcher.places),
+            ScoringSlots(self.dispatcher.total_slots),
             lambda _item: None,
             cast(Any, SimpleNamespace(is_fresh=lambda _job: True, age=lambda _job: timedelta())),
         )
--- a/tests/jobs/gateway_fake.py
+++ b/tests/jobs/gateway_fake.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from cranberryline.dispatch.errors import Ran, Refusal, RefusalReason
-from cranberryline.dispatch.model import AnswerSink, CallerRequest
+from cranberryline.dispatch.model import CallerRequest, ResponseSink
 from cranberryline.gateway.relay import RelayedLog
 from cranberryline.gateway.relay_messages import RelayAnswer
 from cranberryline.helpers.metrics import Metrics
@@ -47,15 +47,15 @@
 
     version = 1
 
-    def places(self, _service: str) -> int:
+    def total_slots(self, _service: str) -> int:
         """Return the number of slots of the service."""
         return 4
 
-    def with_room(self, _service: str) -> list[str]:
+    def upstreams_with_free_slots(self, _service: str) -> list[str]:
         """Return the engines that have a free slot."""
         return ["engine-1"]
 
-    async def async_run(self, req: CallerRequest, sink: AnswerSink) -> Result[str, Refusal]:
+    async def async_run(self, req: CallerRequest, sink: ResponseSink) -> Result[str, Refusal]:
         """Send the request to the engine, if that is still allowed after its time in the queue."""
         await asyncio.sleep(self.queue_s)
         if req.eligible is not None and not req.eligible("engine-1"):
--- a/tests/jobs/test_failing_engines.py
+++ b/tests/jobs/test_failing_engines.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from cranberryline.dispatch.errors import Ran, Refusal, RefusalReason
-from cranberryline.dispatch.model import AnswerSink, CallerRequest
+from cranberryline.dispatch.model import CallerRequest, ResponseSink
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.helpers.tail import StoreHealth
 from cranberryline.jobs.codec import encode_job, encode_records
@@ -28,11 +28,11 @@
     def __init__(self) -> None:
         self.requested: list[str] = []
 
-    def places(self, _service: str) -> int:
+    def total_slots(self, _service: str) -> int:
         """Return the number of slots of the service."""
         return 4
 
-    async def async_run(self, req: CallerRequest, sink: AnswerSink) -> Result[str, Refusal]:
+    async def async_run(self, req: CallerRequest, sink: ResponseSink) -> Result[str, Refusal]:
         """Answer with status 500 at all engines except the last one."""
         candidates = [engine for engine in self.engines if engine not in req.avoid] or self.engines
         self.requested.append(candidates[0])
--- a/tests/jobs/test_runner.py
+++ b/tests/jobs/test_runner.py
@@ -29,7 +29,7 @@
         dependencies = RunnerDependencies(
             self.jobs,
             cast(Any, SimpleNamespace(table=object())),
-            cast(Any, SimpleNamespace(places=lambda _service: 1)),
+            cast(Any, SimpleNamespace(total_slots=lambda _service: 1)),
             cast(Any, None),
             cast(Any, None),
             clock,
--- a/tests/jobs/test_text_checkpointer.py
+++ b/tests/jobs/test_text_checkpointer.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from cranberryline.dispatch.errors import Refusal, RefusalReason
-from cranberryline.dispatch.model import AnswerSink, CallerRequest
+from cranberryline.dispatch.model import CallerRequest, ResponseSink
 from cranberryline.jobs.codec import encode_job, encode_records
 from cranberryline.jobs.const import TEXTS_READ_TIMEOUT
 from cranberryline.jobs.model import ItemState, JobEnded
@@ -33,7 +33,7 @@
         super().__init__()
         self.requests: list[tuple[float, int]] = []
 
-    async def async_run(self, req: CallerRequest, sink: AnswerSink) -> Result[str, Refusal]:
+    async def async_run(self, req: CallerRequest, sink: ResponseSink) -> Result[str, Refusal]:
         """Generate the events one by one."""
         last = int(dict(req.headers).get("last", "0"))
         if req.eligible is not None and not req.eligible("engine-1"):
--- a/tests/platform/test_restarts.py
+++ b/tests/platform/test_restarts.py
@@ -203,7 +203,7 @@
         gateway = platform.gateways[0]
         odd = platform.add_sampler("late")
         await asyncio.sleep(0.5)
-        assert gateway.table.usable("late") == [] and not gateway.routes.knows("late")
+        assert gateway.table.usable("late") == [] and not gateway.routes.has_service("late")
         assert (await platform.async_call("GET", "/files/x", Attempt_Id="a")).code == 200
         assert odd.runs == []
         named = config(5, plain="late")
--- a/tests/routes/test_routes.py
+++ b/tests/routes/test_routes.py
@@ -65,5 +65,5 @@
     routes.set_slots("engines", 7)
     assert routes.spec("engines").concurrency == 7
     assert routes.spec("plain").type is ServiceType.PLAIN
-    assert routes.knows("plain") and not routes.knows("nobody")
+    assert routes.has_service("plain") and not routes.has_service("nobody")
     assert routes.caller("x") is None and routes.shares() == {}
