--- a/tests/dispatch/test_dispatch.py
+++ b/tests/dispatch/test_dispatch.py
@@ -173,10 +173,7 @@
 
 
 def test_expired_queued_request_is_refused_with_a_retry_delay(harness: DispatcherHarness) -> None:
-    """A request that expires in the queue of a stuck upstream is not refused as not run.
-
-    The refusal must also say when the caller may retry.
-    """
+    """A request that expires behind a stuck upstream is not refused as not run, or without a delay."""
     side = harness.add_upstream("up-1", no_response)
 
     async def async_main() -> None:
@@ -234,10 +231,7 @@
 
 
 def test_retries_are_limited_by_the_retry_budget(harness: DispatcherHarness) -> None:
-    """Retries amplify the load in an outage.
-
-    Once the budget is spent, attempts must stay below 1.2 times the requests.
-    """
+    """In an outage, retries raise the attempts above 1.2 times the requests."""
     sides = [harness.add_upstream(f"up-{i}", _lose_connection) for i in range(4)]
     requests = 200
 
