--- /dev/null
+++ b/cranberryline/dispatch/scheduler.py
@@ -0,0 +1,306 @@
+"""Admission, queueing and routing of one service's requests in this process."""
+
+import asyncio
+import itertools
+from collections.abc import Callable, Mapping
+from datetime import timedelta
+from random import Random
+
+import attrs
+from result import Err, Ok, Result
+
+from cranberryline.configs import ServiceSpec
+from cranberryline.decisions import (
+    AdmissionLimits,
+    AdmissionPolicy,
+    AdmissionRequest,
+    AdmissionView,
+    Priority,
+    QueueSettings,
+    RateMeter,
+    Refuse,
+    RetryBudget,
+    RouteRequest,
+    RoutingPolicy,
+    WorkItem,
+    WorkQueue,
+)
+from cranberryline.decisions.const import DEFAULT_QUEUE_SECONDS
+from cranberryline.helpers.clock import Clock
+
+from .errors import Refusal, RefusalReason
+from .model import CallerRequest
+from .upstreams import Upstream, UpstreamTable
+
+__all__ = ["ServiceScheduler", "SlotReservation"]
+
+_ROUTING = RoutingPolicy()
+# A request that expires or finds no upstream after its admission may be retried this soon.
+_RETRY_AFTER = timedelta(seconds=1)
+# A load report becomes outdated without an event, so a non-empty queue is checked this often.
+_RECHECK_INTERVAL = timedelta(milliseconds=250)
+
+
+@attrs.frozen
+class SlotReservation:
+    """A slot of an upstream for one request; it must be released by `ServiceScheduler.release`."""
+
+    item: WorkItem
+    upstream: Upstream
+    reserved_at: timedelta
+
+
+@attrs.define(eq=False)
+class _Waiter:
+    """A queued request, and the future that receives its reservation or refusal."""
+
+    req: CallerRequest
+    avoid: frozenset[str]
+    fut: asyncio.Future[Result[SlotReservation, Refusal]]
+    reservation: SlotReservation | None = None
+
+
+class ServiceScheduler:
+    """Admit, queue and route the requests of one service.
+
+    `shares` maps callers to their weights in the queue. It is a live view: a change of the
+    configuration applies from the next request on.
+    """
+
+    def __init__(
+        self,
+        service: str,
+        clock: Clock,
+        rng: Random,
+        upstreams: UpstreamTable,
+        spec: Callable[[], ServiceSpec],
+        shares: Mapping[str, float],
+        data_center: str = "",
+    ) -> None:
+        self.budget = RetryBudget()
+        self._service = service
+        self._data_center = data_center
+        self._clock = clock
+        self._rng = rng
+        self._upstreams = upstreams
+        self._spec = spec
+        self._queue = WorkQueue(0, QueueSettings(caller_weights=shares))
+        self.shares = shares
+        self._capacity = RateMeter()
+        self._saturated_since: timedelta | None = None
+        self._waiters: dict[int | str, _Waiter] = {}
+        self._ids = itertools.count()
+        self._timer: asyncio.TimerHandle | None = None
+
+    @property
+    def queued(self) -> int:
+        """Return the number of queued requests."""
+        return len(self._queue)
+
+    @property
+    def capacity(self) -> float:
+        """Return the tokens per second measured while no slot was free, 0 without a measurement."""
+        return self._capacity.tokens_per_second(self._clock.monotonic())
+
+    def admit(self, req: CallerRequest) -> Result[timedelta, Refusal]:
+        """Admit a request and return the latest time at which it may start, or refuse it."""
+        now = self._clock.monotonic()
+        policy = AdmissionPolicy(self._limits())
+        view = AdmissionView(
+            queued=self._queue.queued,
+            running=self._queue.running,
+            slots=self._usable_slots(),
+            tokens_per_second=self._capacity.tokens_per_second(now),
+        )
+        request = AdmissionRequest(
+            caller=req.caller,
+            priority=Priority(req.caller_class),
+            tokens=max(req.tokens, 1),
+            remaining=req.deadline - now,
+        )
+        decision = policy.decide(view, request, self._rng)
+        if isinstance(decision, Refuse):
+            return Err(
+                Refusal(
+                    RefusalReason.OVERLOADED,
+                    retry_after=decision.retry_after,
+                    detail=decision.reason.value,
+                )
+            )
+        return Ok(now + decision.start_within)
+
+    async def async_reserve_slot(
+        self, req: CallerRequest, start_by: timedelta, avoid: frozenset[str]
+    ) -> Result[SlotReservation, Refusal]:
+        """Wait for a slot of an upstream; a refusal is final, and the attempt was not run."""
+        now = self._clock.monotonic()
+        item = WorkItem(
+            id=next(self._ids),
+            caller=req.caller,
+            priority=Priority(req.caller_class),
+            tokens=max(req.tokens, 1),
+            arrived=now,
+            start_by=start_by,
+        )
+        waiter = _Waiter(req, avoid, asyncio.get_running_loop().create_future())
+        self._waiters[item.id] = waiter
+        self._queue.push(item)
+        self.dispatch_waiting()
+        try:
+            return await waiter.fut
+        except asyncio.CancelledError:
+            self._cancel(item, waiter)
+            raise
+
+    def release(self, reservation: SlotReservation, tokens: int) -> None:
+        """Release the slot of a request that ended with `tokens` tokens, and fill it again."""
+        now = self._clock.monotonic()
+        self._queue.finish(reservation.item.id)
+        reservation.upstream.complete(tokens, now - reservation.reserved_at, now)
+        if self._saturated_since is not None:
+            self._capacity.record(tokens, now - self._saturated_since, now)
+            self._saturated_since = now
+        self.dispatch_waiting()
+
+    def release_unused(self, reservation: SlotReservation) -> None:
+        """Release a slot to which no request was sent, and fill it again."""
+        self._queue.finish(reservation.item.id)
+        reservation.upstream.release()
+        self.dispatch_waiting()
+
+    def dispatch_waiting(self) -> None:
+        """Reserve slots for queued requests as long as upstreams have free ones."""
+        now = self._clock.monotonic()
+        self._queue.slots = self._usable_slots()
+        while self._waiters:
+            free = self._upstreams_with_free_slots()
+            if not free:
+                break
+            item = self._queue.pop(now)
+            if item is None:
+                break
+            self._reserve_slot(item, free, now)
+        self._expire_overdue()
+        self._track_saturation(now)
+
+    def _track_saturation(self, now: timedelta) -> None:
+        """Record since when all slots are taken, as only such periods show the capacity.
+
+        A period without any upstream does not count. If it did, the wait for the first connection
+        after a start would make the service look hundreds of times slower than it is, and admission
+        would refuse callers for a minute.
+        """
+        waiting = len(self._queue) > 0
+        saturated = self._queue.slots > 0 and (
+            waiting or len(self._queue.running) >= self._queue.slots
+        )
+        if not saturated:
+            self._saturated_since = None
+        elif self._saturated_since is None:
+            self._saturated_since = now
+
+    def _reserve_slot(self, item: WorkItem, free: list[Upstream], now: timedelta) -> None:
+        waiter = self._waiters.pop(item.id)
+        upstream = self._route(item, waiter, free, now)
+        if upstream is None:
+            self._queue.finish(item.id)
+            self._resolve(waiter, Err(_no_upstream_refusal()))
+            return
+        upstream.reserve(now)
+        waiter.reservation = SlotReservation(item, upstream, now)
+        self._resolve(waiter, Ok(waiter.reservation))
+
+    def _route(
+        self, item: WorkItem, waiter: _Waiter, free: list[Upstream], now: timedelta
+    ) -> Upstream | None:
+        spec = self._spec()
+        eligible = waiter.req.eligible
+        if eligible is not None:
+            free = [upstream for upstream in free if eligible(upstream.link.vm_id)]
+        views = [upstream.view(spec, now) for upstream in free]
+        token_rate = waiter.req.token_rate
+        if token_rate is not None:
+            views = [attrs.evolve(view, tokens_per_second=token_rate(view.id)) for view in views]
+        excluded = waiter.avoid & {view.id for view in views}
+        # The exclusion is a preference: if all upstreams are excluded, any of them may be chosen.
+        if len(excluded) >= len(views):
+            excluded = frozenset()
+        request = RouteRequest(
+            tokens=max(waiter.req.tokens, 1),
+            priority=item.priority,
+            data_center=self._data_center,
+            prefix_key=waiter.req.prefix_key or None,
+            prefix_tokens=waiter.req.prefix_tokens,
+            excluded=excluded,
+            may_probe=waiter.req.idempotent,
+            short=token_rate is None,
+        )
+        chosen = _ROUTING.choose(views, request, self._rng)
+        return None if chosen is None else self._upstreams.get(self._service, chosen)
+
+    def _expire_overdue(self) -> None:
+        now = self._clock.monotonic()
+        for item in self._queue.expire(now):
+            waiter = self._waiters.pop(item.id, None)
+            if waiter is not None:
+                self._resolve(waiter, Err(_expired_refusal(waiter.req, now)))
+        self._schedule_recheck(now)
+
+    def _schedule_recheck(self, now: timedelta) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        expiry = self._queue.next_expiry()
+        if expiry is not None:
+            # Fires 1 ms late, so that the request has expired by then.
+            wait = max(min(expiry - now, _RECHECK_INTERVAL).total_seconds(), 0.0) + 0.001
+            self._timer = asyncio.get_running_loop().call_later(wait, self.dispatch_waiting)
+
+    def _cancel(self, item: WorkItem, waiter: _Waiter) -> None:
+        self._waiters.pop(item.id, None)
+        if self._queue.cancel(item.id) is None:
+            # The slot was reserved just as the caller disconnected.
+            self._queue.finish(item.id)
+            if waiter.reservation is not None:
+                waiter.reservation.upstream.release()
+        self.dispatch_waiting()
+
+    @staticmethod
+    def _resolve(waiter: _Waiter, result: Result[SlotReservation, Refusal]) -> None:
+        if not waiter.fut.done():
+            waiter.fut.set_result(result)
+
+    def upstreams_with_free_slots(self) -> list[str]:
+        """Return the ids of the upstreams that have a free slot, as far as this node knows."""
+        return [upstream.link.vm_id for upstream in self._upstreams_with_free_slots()]
+
+    def _upstreams_with_free_slots(self) -> list[Upstream]:
+        spec, now = self._spec(), self._clock.monotonic()
+        return [up for up in self._upstreams.usable(self._service) if up.has_free_slot(spec, now)]
+
+    def _usable_slots(self) -> int:
+        """Return how many slots this process can use; the queue's reserves are fractions of these.
+
+        Other entries use some of the service's slots. If the reserves were fractions of all slots,
+        this process might never use enough of them to reach a reserve.
+        """
+        spec, now = self._spec(), self._clock.monotonic()
+        return sum(
+            upstream.usable_slots(spec, now) for upstream in self._upstreams.usable(self._service)
+        )
+
+    def _limits(self) -> AdmissionLimits:
+        spec = self._spec()
+        queue_times = dict(DEFAULT_QUEUE_SECONDS)
+        queue_times[Priority.APPLICATION] = timedelta(seconds=spec.queue_seconds)
+        return AdmissionLimits(queue_seconds=queue_times, caller_weights=self.shares)
+
+
+def _no_upstream_refusal() -> Refusal:
+    return Refusal(RefusalReason.NO_UPSTREAM, retry_after=_RETRY_AFTER)
+
+
+def _expired_refusal(req: CallerRequest, now: timedelta) -> Refusal:
+    deadline_passed = now >= req.deadline
+    reason = RefusalReason.DEADLINE if deadline_passed else RefusalReason.OVERLOADED
+    return Refusal(reason, retry_after=_RETRY_AFTER, detail="expired")
