--- a/cranberryline/dispatch/dispatch.py
+++ b/cranberryline/dispatch/dispatch.py
@@ -74,7 +74,7 @@
         """Return a service's specification, or the last one it had if it was deleted.
 
         Requests of a deleted service may still be queued. The scheduler needs the specification to
-        end them; if the lookup attempt_failed, they would wait forever.
+        end them; if the lookup failed, they would wait forever.
         """
         return self._last_specs[service]
 
