--- a/cranberryline/weights/__init__.py
+++ b/cranberryline/weights/__init__.py
@@ -1,4 +1,4 @@
-"""Weight swaps of one engine: what was ordered, and what it truly serves."""
+"""Track the weight versions ordered from one engine and the version it reports."""
 
 from .errors import SwapTrouble
 from .model import SwapOrder
--- a/cranberryline/weights/errors.py
+++ b/cranberryline/weights/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the weights domain."""
+"""Errors of weight swaps."""
 
 import enum
 
@@ -6,12 +6,12 @@
 
 
 class SwapTrouble(enum.StrEnum):
-    """What was wrong with an order, an answer or a report."""
+    """Reason why an order, a response or a load report was rejected or has failed."""
 
-    OLD_FENCE = "old_fence"  # a target older than the one held
-    OTHER_VERSION = "other_version"  # the engine serves another version than was ordered
-    BAD_REPORT = "bad_report"
-    STALE_FENCE = "stale_fence"  # the engine has had a higher fencing number
+    OLD_FENCE = "old_fence"  # a record with a lower offset than the current target
+    OTHER_VERSION = "other_version"  # the engine serves another version than the ordered one
+    BAD_REPORT = "bad_report"  # a version or fencing token of the wrong type or out of range
+    STALE_FENCE = "stale_fence"  # the engine has accepted a higher fencing token
     FAILED = "swap_failed"
-    NOT_STARTED = "not_started"  # refused before anything changed
-    LATE_ANSWER = "late_answer"
+    NOT_STARTED = "not_started"  # rejected before the engine changed anything
+    LATE_ANSWER = "late_answer"  # a response to an order that is no longer in flight
--- a/cranberryline/weights/lags.py
+++ b/cranberryline/weights/lags.py
@@ -1,4 +1,4 @@
-"""How many versions before the named one each trainer allows, taken from its newest job."""
+"""Number of versions by which each trainer allows samples to be behind."""
 
 import attrs
 
@@ -6,32 +6,40 @@
 
 
 @attrs.frozen
-class _Newest:
+class _NewestJob:
+    """Oldest version that the job allows, and the version requested when it was read."""
+
     min_version: int
-    named: int
+    requested_version: int
 
 
 class TrainerLags:
-    """Keep, for each model, the newest job's oldest allowed version and what was named then.
+    """Compute the allowed lag of each model from its trainer's newest job.
 
-    After a start all jobs of the last minutes come again, in any order, and the version that is named
-    by now is not the one of their time. Only the newest job counts, then: an old one would make
-    engines pass for useful that serve no step any more, and steps would wait for versions that nobody
-    orders.
+    After a process start, all jobs of the last minutes are read again in any order, when the
+    requested version is newer than at the time of these jobs. So only the job with the highest
+    minimum version counts. An older job would give too large a lag: engines too old for the current
+    step would count as usable, and the step would wait for a version that is never ordered.
     """
 
     def __init__(self) -> None:
-        self._newest: dict[str, _Newest] = {}
+        self._newest: dict[str, _NewestJob] = {}
+
+    def note(self, model: str, min_version: int, requested_version: int) -> None:
+        """Record a job that allows `min_version` and newer.
 
-    def note(self, model: str, min_version: int, named: int) -> None:
-        """Take a job; `named` is the version named when it came, 0 if that is not known yet."""
+        `requested_version` is the model's requested version when the job was read, 0 if unknown.
+        """
         known = self._newest.get(model)
         if known is None or min_version >= known.min_version:
-            self._newest[model] = _Newest(min_version, named)
+            self._newest[model] = _NewestJob(min_version, requested_version)
+
+    def lag(self, model: str, requested_version: int) -> int:
+        """Return the allowed lag in versions, 0 if no job has been recorded yet.
 
-    def lag(self, model: str, named: int) -> int:
-        """Return the lag in versions, 0 for a trainer without a job yet."""
+        `requested_version` is used if it was unknown when the newest job was recorded.
+        """
         newest = self._newest.get(model)
         if newest is None:
             return 0
-        return max(0, (newest.named or named) - newest.min_version)
+        return max(0, (newest.requested_version or requested_version) - newest.min_version)
--- a/cranberryline/weights/model.py
+++ b/cranberryline/weights/model.py
@@ -1,4 +1,4 @@
-"""Orders to load weights."""
+"""Data types of weight swaps."""
 
 import attrs
 
@@ -7,7 +7,10 @@
 
 @attrs.frozen
 class SwapOrder:
-    """One order: the version to serve, and the offset of the record that says so."""
+    """An order to load a version of the weights.
+
+    `fence` is the order's fencing token: the log offset of the record that requests the version.
+    """
 
     version: int
     fence: int
--- a/cranberryline/weights/shift.py
+++ b/cranberryline/weights/shift.py
@@ -1,4 +1,4 @@
-"""Move engines to the versions that trainers name, a few at a time, under the lease."""
+"""Order engines to load the model versions that trainers request."""
 
 import asyncio
 from collections.abc import Callable, Mapping, Sequence
@@ -25,29 +25,32 @@
 
 _LOGGER = get_logger(__name__)
 
-_LOOK_AGAIN = timedelta(milliseconds=500)
-_LOAD_TIME = timedelta(milliseconds=950)
-_REPORT_PAUSE = timedelta(milliseconds=200)
-_GIVE_UP = timedelta(seconds=4)
-_PAUSE_AFTER_FAILURE = timedelta(milliseconds=300)
+_CHECK_INTERVAL = timedelta(milliseconds=500)
+_EXPECTED_LOAD_DURATION = timedelta(milliseconds=950)
+_REPORT_POLL_INTERVAL = timedelta(milliseconds=200)
+# Frees the engine's loading slot if the engine doesn't respond; the load is then scheduled again.
+_LOAD_TIMEOUT = timedelta(seconds=4)
+_RETRY_DELAY = timedelta(milliseconds=300)
 
 
 @attrs.frozen
 class EngineView:
-    """A start of an engine as the shifter sees it; `versions` is what it is known to serve.
+    """One start of an engine (a run of its process), and the versions it is known to serve by model.
 
-    `place` is the same for all starts of one engine, which begin with the version that it had. Models
-    placed by the start would move to other engines whenever one starts again, and be loaded there.
+    `start_key` identifies the start. `engine_id` is the same for all starts of an engine; empty
+    means the same as `start_key`. Models are placed by engine, because a restarted engine
+    serves the versions it had before. Placed by start, each restart would move models to other
+    engines and load them there.
     """
 
-    id: str
+    start_key: str
     versions: Mapping[str, int]
-    place: str = ""
+    engine_id: str = ""
 
 
 @attrs.frozen(eq=False)
 class _Load:
-    """A load under way."""
+    """A load in progress on an engine."""
 
     model: str
     version: int
@@ -55,7 +58,10 @@
 
 
 class VersionShifter:
-    """Give the orders that bring engines to the named versions, while this node holds the lease."""
+    """Order engines to load the requested versions while this node holds the lease.
+
+    Only a limited number of each service's engines load at the same time.
+    """
 
     def __init__(
         self,
@@ -63,123 +69,137 @@
         lease: LeaseKeeper,
         engines: Callable[[], dict[str, list[EngineView]]],
         models: Callable[[str], tuple[str, ...]],
-        lag: Callable[[str], int],
-        one_version: Callable[[str], bool],
-        learn: Callable[[str, str, int], None],
+        allowed_lag: Callable[[str], int],
+        finish_runs: Callable[[str], bool],
+        record_version: Callable[[str, str, int], None],
         clock: Clock,
         metrics: Metrics,
     ) -> None:
+        """Initialize the scheduler.
+
+        `engines` returns the engine starts by service, `models` the models of a service and
+        `allowed_lag` the number of versions that a model's trainer allows an engine to be behind.
+        `finish_runs` returns whether a service's engines finish their runs before they load.
+        `record_version` is called with the start's key, the model and the version that it serves.
+        """
         self.wanted: dict[str, int] = {}
         self._orders = orders
         self._lease = lease
         self._engines = engines
         self._models = models
-        self._lag = lag
-        self._one_version = one_version
-        self._learn = learn
+        self._allowed_lag = allowed_lag
+        self._finish_runs = finish_runs
+        self._record_version = record_version
         self._clock = clock
         self._metrics = metrics
         self._wake = asyncio.Event()
-        self._named_at: dict[str, timedelta] = {}
+        self._requested_at: dict[str, timedelta] = {}
         self._loading: dict[str, _Load] = {}
 
     def want(self, model: str, version: int) -> None:
-        """Take a version that a trainer named; an older one changes nothing."""
+        """Record the version that a trainer requests; a version that is not newer is ignored."""
         if version > self.wanted.get(model, 0):
             self.wanted[model] = version
-            self._named_at[model] = self._clock.monotonic()
+            self._requested_at[model] = self._clock.monotonic()
             _LOGGER.info("version_named", model=model, version=version)
             self._wake.set()
 
     async def async_run(self) -> None:
-        """Give orders until cancelled."""
+        """Order loads until cancelled."""
         while True:
             if self._lease.token() is not None:
-                self._start_due()
+                self._start_due_loads()
             self._wake.clear()
             try:
-                async with asyncio.timeout(_LOOK_AGAIN.total_seconds()):
+                async with asyncio.timeout(_CHECK_INTERVAL.total_seconds()):
                     await self._wake.wait()
             except TimeoutError:
                 pass
 
     async def async_close(self) -> None:
-        """Give no more orders."""
+        """Cancel the loads in progress."""
         tasks = [load.task for load in self._loading.values()]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _start_due(self) -> None:
+    def _start_due_loads(self) -> None:
         for service, engines in self._engines().items():
-            by_id = {engine.id: engine for engine in engines}
-            lags = {model: self._lag(model) for model in self._models(service)}
-            part = count_engines_per_version(len(lags), len(by_id))
-            places = place_on_engines(lags, engines)
-            loading = len(self._loading.keys() & by_id.keys())
-            for _ in range(max_concurrent_loads(len(by_id)) - loading):
-                needs = [self._need(model, lags[model], places[model], by_id) for model in lags]
-                chosen = next_load(needs, part, self._loading)
+            engines_by_key = {engine.start_key: engine for engine in engines}
+            lags = {model: self._allowed_lag(model) for model in self._models(service)}
+            engines_per_version = count_engines_per_version(len(lags), len(engines_by_key))
+            placement = place_on_engines(lags, engines)
+            loading = len(self._loading.keys() & engines_by_key.keys())
+            for _ in range(max_concurrent_loads(len(engines_by_key)) - loading):
+                needs = [
+                    self._model_need(model, lags[model], placement[model], engines_by_key)
+                    for model in lags
+                ]
+                chosen = next_load(needs, engines_per_version, self._loading)
                 if chosen is None:
                     break
                 need, engine = chosen
-                self._start(engine, need.model, need.wanted, self._one_version(service))
+                self._start_load(engine, need.model, need.wanted, self._finish_runs(service))
 
-    def _need(
-        self, model: str, lag: int, engines: list[str], by_id: Mapping[str, EngineView]
+    def _model_need(
+        self, model: str, lag: int, engines: list[str], engines_by_key: Mapping[str, EngineView]
     ) -> ModelNeed:
-        versions = {engine: by_id[engine].versions.get(model, 0) for engine in engines}
+        versions = {engine: engines_by_key[engine].versions.get(model, 0) for engine in engines}
         for engine, load in self._loading.items():
             if load.model == model and engine in versions:
                 versions[engine] = max(versions[engine], load.version)
-        named_at = self._named_at.get(model, timedelta())
-        return ModelNeed(model, self.wanted.get(model, 0), lag, named_at, versions)
+        requested_at = self._requested_at.get(model, timedelta())
+        return ModelNeed(model, self.wanted.get(model, 0), lag, requested_at, versions)
 
-    def _start(self, engine: str, model: str, version: int, finish_runs: bool) -> None:
-        task = asyncio.ensure_future(self._async_shift(engine, model, version, finish_runs))
+    def _start_load(self, engine: str, model: str, version: int, finish_runs: bool) -> None:
+        task = asyncio.ensure_future(self._async_load(engine, model, version, finish_runs))
         self._loading[engine] = _Load(model, version, task)
 
-        def done(_: object) -> None:
+        def on_done(_: object) -> None:
             self._loading.pop(engine, None)
             self._wake.set()
 
-        task.add_done_callback(done)
+        task.add_done_callback(on_done)
+
+    async def _async_load(self, engine: str, model: str, version: int, finish_runs: bool) -> None:
+        """Order one start of an engine to load a version until it serves that version.
 
-    async def _async_shift(self, engine: str, model: str, version: int, finish_runs: bool) -> None:
-        """Bring one start of an engine to a version, or stop for now, and for good once it is over."""
-        give_up = self._clock.monotonic() + _GIVE_UP
+        Stops after the load timeout, when a newer version is requested, or when the start has
+        ended.
+        """
+        deadline = self._clock.monotonic() + _LOAD_TIMEOUT
         ordered = False
-        while self._clock.monotonic() < give_up and self.wanted.get(model, 0) == version:
+        while self._clock.monotonic() < deadline and self.wanted.get(model, 0) == version:
             reported = await self._orders.async_report(engine)
             if isinstance(reported, Err):
-                await self._clock.async_sleep(_PAUSE_AFTER_FAILURE)
+                await self._clock.async_sleep(_RETRY_DELAY)
                 if reported.unwrap_err().reason is PlatformReason.START_OVER:
                     return
                 continue
             report = reported.unwrap()
-            serves = report.versions.get(model, 0)
-            if serves >= version:
-                self._learn(engine, model, serves)
+            serving_version = report.versions.get(model, 0)
+            if serving_version >= version:
+                self._record_version(engine, model, serving_version)
                 return
             if report.busy or ordered:
                 ordered = False
-                await self._clock.async_sleep(_REPORT_PAUSE)
+                await self._clock.async_sleep(_REPORT_POLL_INTERVAL)
                 continue
             order = VersionOrder(model, version, "", 0, report.sequence, finish_runs)
             ordered = await self._async_order(engine, order)
 
-    async def _async_order(self, engine: str, wanted: VersionOrder) -> bool:
-        """Send one order; True if the engine should be at work on it now.
+    async def _async_order(self, engine: str, unleased_order: VersionOrder) -> bool:
+        """Send one order and return whether the engine should be loading now.
 
-        The order names the sequence number that the engine reported: an order that is carried out
-        seconds late finds another one there and does nothing, where it would else bring back an
-        older version.
+        The order carries the sequence number that the engine reported. The engine ignores an order
+        that arrives seconds late, because its sequence number has changed since. Without it, a
+        late order would bring back an older version.
         """
         token = self._lease.token()
         if token is None:
-            await self._clock.async_sleep(_PAUSE_AFTER_FAILURE)
+            await self._clock.async_sleep(_RETRY_DELAY)
             return False
-        order = attrs.evolve(wanted, holder=self._lease.holder, token=token)
+        order = attrs.evolve(unleased_order, holder=self._lease.holder, token=token)
         outcome = await self._orders.async_order(engine, order)
         self._metrics.orders.labels(outcome.value).inc()
         _LOGGER.info(
@@ -192,16 +212,16 @@
             outcome=outcome,
         )
         if outcome is OrderOutcome.TAKEN:
-            await self._clock.async_sleep(_LOAD_TIME)
+            await self._clock.async_sleep(_EXPECTED_LOAD_DURATION)
             return True
-        await self._clock.async_sleep(_REPORT_PAUSE)
+        await self._clock.async_sleep(_REPORT_POLL_INTERVAL)
         return False
 
 
 def place_on_engines(
     lags: Mapping[str, int], engines: Sequence[EngineView]
 ) -> dict[str, list[str]]:
-    """Return for each model the starts of the engines that are to serve it; `lags` are in versions."""
-    at_place = {engine.place or engine.id: engine.id for engine in engines}
-    placed = place_models(lags, at_place)
-    return {model: [at_place[name] for name in placed[model]] for model in lags}
+    """Return the keys of the engine starts that have to serve each model; `lags` is in versions."""
+    start_keys = {engine.engine_id or engine.start_key: engine.start_key for engine in engines}
+    placed = place_models(lags, start_keys)
+    return {model: [start_keys[name] for name in placed[model]] for model in lags}
--- a/cranberryline/weights/swap.py
+++ b/cranberryline/weights/swap.py
@@ -1,4 +1,4 @@
-"""The state of one engine's weights: what was ordered, and what it truly serves."""
+"""State machine of one engine's weight swaps."""
 
 from collections import Counter
 from datetime import timedelta
@@ -12,10 +12,11 @@
 
 
 class SwapState:
-    """Decide when an engine has to be ordered to load weights; there is one order at a time.
+    """Decide when to order an engine to load weights, one order at a time.
 
-    The target only moves to a record of a higher offset. What the engine serves comes from the
-    engine alone, never from what was ordered; after a failure it is unknown until the engine says.
+    Only a record with a higher log offset replaces the target. The version served is taken from
+    the engine's responses and reports, never from the order; after a failed order it is unknown
+    until the engine reports it. All times are monotonic.
     """
 
     def __init__(self, report_lag: timedelta = REPORT_LAG) -> None:
@@ -24,37 +25,40 @@
         self._in_flight: SwapOrder | None = None
         self._serving: int | None = None
         self._verified = False
-        self._settled_at: timedelta | None = None
+        self._last_order_ended_at: timedelta | None = None
         self._engine_fence = 0
         self.troubles: Counter[SwapTrouble] = Counter()
 
     @property
     def target(self) -> SwapOrder | None:
-        """Return what the engine has to serve."""
+        """Return the order for the version that the engine has to serve, None before the first."""
         return self._target
 
     @property
     def serving(self) -> int | None:
-        """Return the version that the engine last said it serves, None when unknown."""
+        """Return the version that the engine last reported, None if it is unknown."""
         return self._serving
 
     @property
     def in_flight(self) -> SwapOrder | None:
-        """Return the order that the engine has not answered."""
+        """Return the order that the engine has not responded to yet."""
         return self._in_flight
 
     @property
     def verified(self) -> bool:
-        """Return whether a load report has shown the target since the last order."""
+        """Return whether a load report has shown the target version since the last order."""
         return self._verified
 
     @property
     def highest_fence(self) -> int:
-        """Return the highest fencing number met: of records, and of the engine's reports."""
+        """Return the highest fencing token seen in records and in the engine's reports."""
         return max(self._engine_fence, 0 if self._target is None else self._target.fence)
 
     def set_target(self, version: int, fence: int) -> bool:
-        """Take the weights in force; one that is older than the target changes nothing."""
+        """Set the target from a weights record and return whether it changed.
+
+        A record with a lower offset than the target's is ignored and counted as a problem.
+        """
         if self._target is not None and fence <= self._target.fence:
             if fence < self._target.fence:
                 self.troubles[SwapTrouble.OLD_FENCE] += 1
@@ -64,10 +68,11 @@
         return True
 
     def needed(self) -> SwapOrder | None:
-        """Return the order that the engine needs now, or None.
+        """Return the order to send to the engine now, or None.
 
-        An engine whose own fence is above the target's was ordered by a record that this process
-        has not seen yet, by its predecessor: ordering now would take the engine back.
+        An engine that reports a higher fencing token than the target's was ordered by an earlier
+        run of this process, because of a record that this run has not read yet. An order now would
+        bring back an older version.
         """
         if self._target is None or self._in_flight is not None:
             return None
@@ -76,7 +81,7 @@
         return self._target
 
     def begin(self, order: SwapOrder) -> bool:
-        """Note that an order is being sent; False when it is no longer the one needed."""
+        """Mark an order as in flight; return False if it is no longer the needed one."""
         if order != self.needed():
             return False
         self._in_flight = order
@@ -85,8 +90,8 @@
         return True
 
     def on_loaded(self, order: SwapOrder, version: Any, now: timedelta) -> bool:
-        """Take the engine's answer; return whether it serves what was ordered."""
-        if not self._end(order, now):
+        """Handle the engine's response; return whether it serves the ordered version."""
+        if not self._finish_order(order, now):
             return False
         if not _is_version(version):
             self.troubles[SwapTrouble.BAD_REPORT] += 1
@@ -99,38 +104,46 @@
         return True
 
     def on_failed(self, order: SwapOrder, now: timedelta) -> None:
-        """Note an order that failed, or whose answer was lost: the engine serves we know not what.
+        """Handle an order that failed or whose response was lost.
 
-        A load report will tell; until then the engine is ordered again, which is harmless.
+        The version served is unknown until the next load report. Until then the order is sent
+        again, which is safe because it is idempotent.
         """
-        if self._end(order, now):
+        if self._finish_order(order, now):
             self.troubles[SwapTrouble.FAILED] += 1
 
     def on_not_started(self, order: SwapOrder, serving: int | None, now: timedelta) -> None:
-        """Note an order that the engine put off before it changed anything."""
-        if self._end(order, now):
+        """Handle an order that the engine rejected before it changed anything.
+
+        `serving` is the version that the engine served before the order.
+        """
+        if self._finish_order(order, now):
             self._serving = serving
             self.troubles[SwapTrouble.NOT_STARTED] += 1
 
     def on_stale_fence(self, order: SwapOrder, now: timedelta) -> None:
-        """Note that the engine has had a higher fencing number: only a newer record may order."""
-        if not self._end(order, now):
+        """Handle a fencing token that the engine rejected: only a newer record may be ordered."""
+        if not self._finish_order(order, now):
             return
         self.troubles[SwapTrouble.STALE_FENCE] += 1
         self._engine_fence = max(self._engine_fence, order.fence + 1)
 
     def on_report(self, version: Any, fence: Any, asked_at: timedelta) -> None:
-        """Take a load report; one asked for too soon after an order may be older than its end.
+        """Handle a load report that was requested at `asked_at`.
 
-        Without the lag a report made before the swap would bring a second swap to each sampler,
-        and hold the store's rate and the samplers' work up for nothing.
+        A report requested within the report lag after an order may have been made before the order
+        ended, so it can only confirm the target. Otherwise each engine would swap twice, which
+        wastes the store's request quota and delays the engines' requests.
         """
-        if (version is not None and not _is_version(version)) or not _is_fence(fence):
+        if (version is not None and not _is_version(version)) or not _is_fencing_token(fence):
             self.troubles[SwapTrouble.BAD_REPORT] += 1
             return
         if self._in_flight is not None:
             return
-        if self._settled_at is not None and asked_at - self._settled_at < self._report_lag:
+        if (
+            self._last_order_ended_at is not None
+            and asked_at - self._last_order_ended_at < self._report_lag
+        ):
             if self._target is not None and version == self._target.version == self._serving:
                 self._verified = True
             return
@@ -140,12 +153,12 @@
         self._serving = version
         self._verified = self._target is not None and version == self._target.version
 
-    def _end(self, order: SwapOrder, now: timedelta) -> bool:
+    def _finish_order(self, order: SwapOrder, now: timedelta) -> bool:
         if order != self._in_flight:
             self.troubles[SwapTrouble.LATE_ANSWER] += 1
             return False
         self._in_flight = None
-        self._settled_at = now
+        self._last_order_ended_at = now
         return True
 
 
@@ -153,5 +166,5 @@
     return isinstance(value, int) and not isinstance(value, bool) and 0 <= value <= MAX_VERSION
 
 
-def _is_fence(value: Any) -> bool:
+def _is_fencing_token(value: Any) -> bool:
     return isinstance(value, int) and not isinstance(value, bool) and 0 <= value <= MAX_VERSION
--- a/tests/weights/test_lags.py
+++ b/tests/weights/test_lags.py
@@ -1,13 +1,14 @@
-"""What a trainer allows, learnt from its jobs."""
+"""Test the allowed lag that is computed from a trainer's jobs."""
 
 from cranberryline.weights.lags import TrainerLags
 
 
-def test_the_newest_job_tells_the_lag_whatever_order_the_jobs_come_in() -> None:
-    """A node starts while version 9 is named and reads the jobs of the last minutes.
+def test_newest_job_sets_the_lag_in_whatever_order_jobs_are_read() -> None:
+    """A node starts while version 9 is requested and reads the jobs of the last minutes.
 
-    Step 9's job allows version 8, step 3's allowed 2. Taken from the job that was read last, the lag
-    would be 7: engines with version 3 would pass for useful, and step 9 would wait for nothing.
+    The job of step 9 allows version 8, that of step 3 allowed version 2. Computed from an older job,
+    the lag would be up to 7: engines with version 3 would count as usable, no load would be ordered
+    for step 9, and it would wait in vain.
     """
     lags = TrainerLags()
     for min_version in (8, 2, 5):
@@ -15,15 +16,15 @@
     assert lags.lag("m", 9) == 1
 
 
-def test_a_job_read_before_the_named_version_is_counted_when_that_is_known() -> None:
-    """Jobs and named versions come from two topics, in any order."""
+def test_job_read_before_the_requested_version_counts_once_the_version_is_known() -> None:
+    """Jobs and requested versions are read from two topics, in any order."""
     lags = TrainerLags()
     lags.note("m", 8, 0)
     assert lags.lag("m", 9) == 1
 
 
-def test_a_version_named_after_the_job_does_not_lengthen_the_lag() -> None:
-    """Between a version's name and the step that asks for it nothing has changed for the trainer."""
+def test_version_requested_after_the_job_does_not_increase_the_lag() -> None:
+    """A version is requested before the job of its step is read; until then the lag stays the same."""
     lags = TrainerLags()
     lags.note("m", 8, 9)
     assert lags.lag("m", 10) == 1 and lags.lag("other", 10) == 0
--- a/tests/weights/test_shift.py
+++ b/tests/weights/test_shift.py
@@ -1,4 +1,4 @@
-"""Orders that move engines to named versions: fenced, with preconditions, a few at a time."""
+"""Test the orders that make engines load requested versions."""
 
 import asyncio
 from datetime import timedelta
@@ -20,65 +20,68 @@
 
 @attrs.define
 class Engine:
-    """An engine that loads for 0.9 s; `lose` orders get no answer and are carried out late."""
+    """An engine that takes 0.9 s to load.
+
+    The next `unanswered_orders` orders get no response and are executed after `delay_s` seconds.
+    """
 
     version: int = 1
     sequence: int = 0
-    lose: int = 0
-    late_s: float = 3.0
+    unanswered_orders: int = 0
+    delay_s: float = 3.0
     busy: bool = False
     history: list[int] = attrs.field(factory=list)
 
 
 class FakeOrders(OrderPort):
-    """Engines by id, as the order port shows them."""
+    """An order port to fake engines, by the key of their start."""
 
     def __init__(self, count: int) -> None:
         self.engines = {f"e{number}": Engine() for number in range(count)}
-        self.most_busy = 0
+        self.max_loading = 0
         self.orders: list[tuple[str, VersionOrder]] = []
-        self.dark: set[str] = set()
+        self.unreachable: set[str] = set()
 
     async def async_report(self, upstream: str) -> Result[EngineReport, PlatformError]:
-        """Tell what the engine serves."""
+        """Return what the engine serves."""
         await asyncio.sleep(0.002)
-        if upstream in self.dark:
+        if upstream in self.unreachable:
             return Err(PlatformError(PlatformReason.UNREACHABLE, may_have_run=False))
         engine = self.engines[upstream]
         return Ok(EngineReport(engine.sequence, engine.busy, 0, {MODEL: engine.version}))
 
     async def async_order(self, upstream: str, order: VersionOrder) -> OrderOutcome:
-        """Take an order, or carry it out late and unanswered."""
+        """Accept an order, or execute it late and without a response."""
         self.orders.append((upstream, order))
         engine = self.engines[upstream]
-        if engine.lose:
-            engine.lose -= 1
-            asyncio.get_running_loop().call_later(engine.late_s, self._carry_out, upstream, order)
+        if engine.unanswered_orders:
+            engine.unanswered_orders -= 1
+            asyncio.get_running_loop().call_later(engine.delay_s, self._execute, upstream, order)
             await asyncio.sleep(1.2)
             return OrderOutcome.UNKNOWN
         if engine.busy or order.sequence != engine.sequence:
             return OrderOutcome.BUSY
-        self._carry_out(upstream, order)
+        self._execute(upstream, order)
         return OrderOutcome.TAKEN
 
-    def _carry_out(self, upstream: str, order: VersionOrder) -> None:
+    def _execute(self, upstream: str, order: VersionOrder) -> None:
         engine = self.engines[upstream]
         if order.sequence != engine.sequence:
             return
         engine.sequence += 1
         engine.busy = True
-        self.most_busy = max(self.most_busy, sum(e.busy for e in self.engines.values()))
-        asyncio.get_running_loop().call_later(0.9, self._loaded, engine, order.version)
+        self.max_loading = max(self.max_loading, sum(e.busy for e in self.engines.values()))
+        asyncio.get_running_loop().call_later(0.9, self._on_loaded, engine, order.version)
 
     @staticmethod
-    def _loaded(engine: Engine, version: int) -> None:
+    def _on_loaded(engine: Engine, version: int) -> None:
         engine.busy = False
         engine.version = version
         engine.history.append(version)
 
 
-class Scene:
-    """A holder, its shifter and its engines."""
+class Harness:
+    """A lease holder with its scheduler and its engines."""
 
     def __init__(self, engines: int, lag: int = 0) -> None:
         clock = LoopClock()
@@ -97,12 +100,12 @@
             clock,
             Metrics(),
         )
-        work = (
+        coroutines = (
             self.lease.tail.async_run(),
             self.lease.async_run(),
             self.shifter.async_run(),
         )
-        self.tasks = [asyncio.ensure_future(part) for part in work]
+        self.tasks = [asyncio.ensure_future(coroutine) for coroutine in coroutines]
 
     def _views(self) -> dict[str, list[EngineView]]:
         engines = self.orders.engines.items()
@@ -110,136 +113,137 @@
 
     @property
     def versions(self) -> set[int]:
-        """Return what the engines serve."""
+        """Return the versions that the engines serve."""
         return {engine.version for engine in self.orders.engines.values()}
 
 
-def test_all_engines_reach_the_named_version_two_at_a_time() -> None:
-    """Six engines, 0.9 s each: within five seconds, and never more than two load at once."""
+def test_all_engines_load_the_requested_version_two_at_a_time() -> None:
+    """Six engines load for 0.9 s each: all within five seconds, never more than two at once."""
 
-    async def scene() -> None:
-        made = Scene(6)
+    async def async_case() -> None:
+        harness = Harness(6)
         await asyncio.sleep(1)
-        made.shifter.want(MODEL, 2)
+        harness.shifter.want(MODEL, 2)
         await asyncio.sleep(5)
-        assert made.versions == {2}
-        assert made.orders.most_busy == 2
-        assert len(made.orders.orders) == 6
-        assert {order.token for _, order in made.orders.orders} == {made.lease.token()}
+        assert harness.versions == {2}
+        assert harness.orders.max_loading == 2
+        assert len(harness.orders.orders) == 6
+        assert {order.token for _, order in harness.orders.orders} == {harness.lease.token()}
 
-    run_virtual(scene())
+    run_virtual(async_case())
 
 
-def test_twenty_engines_move_within_the_time_of_three_loads() -> None:
-    """A large service: eight load at once, so a version is everywhere in under four seconds."""
+def test_twenty_engines_load_within_the_time_of_three_loads() -> None:
+    """In a large service eight engines load at once, so all serve it in under four seconds."""
 
-    async def scene() -> None:
-        made = Scene(20)
+    async def async_case() -> None:
+        harness = Harness(20)
         await asyncio.sleep(1)
-        made.shifter.want(MODEL, 2)
+        harness.shifter.want(MODEL, 2)
         await asyncio.sleep(4)
-        assert made.versions == {2}
-        assert made.orders.most_busy <= 8
+        assert harness.versions == {2}
+        assert harness.orders.max_loading <= 8
 
-    run_virtual(scene())
+    run_virtual(async_case())
 
 
-def test_an_order_carried_out_late_brings_no_older_version_back() -> None:
-    """An order gets no answer and is carried out three seconds later, after newer ones.
+def test_order_executed_late_does_not_bring_back_an_older_version() -> None:
+    """An order gets no response and is executed three seconds later, after newer orders.
 
-    It names the sequence number from before them, so the engine does nothing.
+    Its sequence number is older than theirs, so the engine ignores it.
     """
 
-    async def scene() -> None:
-        made = Scene(1)
+    async def async_case() -> None:
+        harness = Harness(1)
         await asyncio.sleep(1)
-        made.orders.engines["e0"].lose = 1
-        made.shifter.want(MODEL, 2)
+        harness.orders.engines["e0"].unanswered_orders = 1
+        harness.shifter.want(MODEL, 2)
         await asyncio.sleep(1.5)
-        made.shifter.want(MODEL, 3)
+        harness.shifter.want(MODEL, 3)
         await asyncio.sleep(8)
-        engine = made.orders.engines["e0"]
+        engine = harness.orders.engines["e0"]
         assert engine.version == 3
         assert engine.history == sorted(engine.history)
 
-    run_virtual(scene())
+    run_virtual(async_case())
 
 
-def test_an_engine_out_of_reach_does_not_hold_up_the_others() -> None:
-    """One engine is dark; the others move, and it moves when it is back."""
+def test_unreachable_engine_does_not_delay_the_others() -> None:
+    """One engine is unreachable; the others load, and it loads once it is reachable again."""
 
-    async def scene() -> None:
-        made = Scene(3)
+    async def async_case() -> None:
+        harness = Harness(3)
         await asyncio.sleep(1)
-        made.orders.dark.add("e1")
-        made.shifter.want(MODEL, 2)
+        harness.orders.unreachable.add("e1")
+        harness.shifter.want(MODEL, 2)
         await asyncio.sleep(4)
-        left = {name for name, engine in made.orders.engines.items() if engine.version == 1}
-        assert left == {"e1"}
-        made.orders.dark.clear()
+        outdated = {name for name, engine in harness.orders.engines.items() if engine.version == 1}
+        assert outdated == {"e1"}
+        harness.orders.unreachable.clear()
         await asyncio.sleep(6)
-        assert made.versions == {2}
+        assert harness.versions == {2}
 
-    run_virtual(scene())
+    run_virtual(async_case())
 
 
-def test_no_order_is_given_without_the_lease() -> None:
-    """The store falls silent: once the lease has run out, versions that are named wait."""
+def test_no_order_is_sent_without_the_lease() -> None:
+    """The store stops responding; once the lease has expired, requested versions are not ordered."""
 
-    async def scene() -> None:
-        made = Scene(2)
+    async def async_case() -> None:
+        harness = Harness(2)
         await asyncio.sleep(1)
-        made.link.silent = True
+        harness.link.silent = True
         await asyncio.sleep(4)
-        made.shifter.want(MODEL, 2)
+        harness.shifter.want(MODEL, 2)
         await asyncio.sleep(4)
-        assert made.orders.orders == []
+        assert harness.orders.orders == []
 
-    run_virtual(scene())
+    run_virtual(async_case())
 
 
-def test_an_older_name_changes_nothing() -> None:
-    """Names are read again after a restart, in any order."""
+def test_older_requested_version_is_ignored() -> None:
+    """Requested versions are read again after a restart, in any order."""
 
-    async def scene() -> None:
-        made = Scene(1)
-        made.shifter.want(MODEL, 5)
-        made.shifter.want(MODEL, 4)
-        assert made.shifter.wanted == {MODEL: 5}
+    async def async_case() -> None:
+        harness = Harness(1)
+        harness.shifter.want(MODEL, 5)
+        harness.shifter.want(MODEL, 4)
+        assert harness.shifter.wanted == {MODEL: 5}
 
-    run_virtual(scene())
+    run_virtual(async_case())
 
 
-# An engine starts again under its id while a node moves it to a version. Ordered by what its former
-# start reported, the new one would load what was decided for another: its numbers start anew at 0 and
-# fit. The trainer sees a step's engines load twice, or a version that it never asked for.
+# An engine restarts under the same id while a node orders it to load a version. Its sequence numbers
+# start at 0 again, so a number that the previous start reported can match by chance. The new start
+# would then load what was decided for the previous one: a step's engines load twice, or load a
+# version that the trainer never requested.
 
 
 class RestartingOrders(FakeOrders):
-    """Engines by start; those in `over` have been followed by another."""
+    """An order port to engines that restart; the starts in `ended_starts` have ended."""
 
     def __init__(self, count: int) -> None:
         super().__init__(count)
-        self.over: set[str] = set()
-        self.asked = 0
+        self.ended_starts: set[str] = set()
+        self.report_requests = 0
 
     async def async_report(self, upstream: str) -> Result[EngineReport, PlatformError]:
-        """Tell that a start is over, as the port does for one that its entry no longer names."""
-        self.asked += 1
-        if upstream in self.over:
+        """Return START_OVER for an ended start, as the port does after a newer registration."""
+        self.report_requests += 1
+        if upstream in self.ended_starts:
             await asyncio.sleep(0.002)
             return Err(PlatformError(PlatformReason.START_OVER, may_have_run=False))
         return await super().async_report(upstream)
 
-    def start_again(self, former: str, new: str, version: int) -> None:
-        """Let an engine's next start follow its former one."""
-        self.over.add(former)
-        self.engines.pop(former)
+    def restart(self, previous: str, new: str, version: int) -> None:
+        """Replace an engine's previous start by a new one."""
+        self.ended_starts.add(previous)
+        self.engines.pop(previous)
         self.engines[new] = Engine(version=version)
 
 
-class RestartingScene(Scene):
-    """A scene whose engines start again; `e0@2` is the second start of `e0`."""
+class RestartingHarness(Harness):
+    """A harness whose engines restart; `e0@2` is the second start of `e0`."""
 
     def __init__(self, engines: int) -> None:
         super().__init__(engines)
@@ -256,58 +260,62 @@
         }
 
 
-def test_a_load_ends_with_the_start_that_it_was_for() -> None:
-    """The engine starts again, with the old version, while the node waits for its load to end.
+def test_load_is_abandoned_when_the_engine_restarts() -> None:
+    """The engine restarts with the old version while the node waits for its load to end.
 
-    Nothing more is sent to the former start, and the new one is brought to the version by an order of
-    its own, which names its own sequence number. It begins at once, not after the four seconds for
-    which a silent engine's load is kept up.
+    No more orders are sent to the previous start. The new start gets an order of its own with its
+    own sequence number, at once and not only after the load timeout of four seconds.
     """
 
-    async def scene() -> None:
-        made = RestartingScene(1)
+    async def async_case() -> None:
+        harness = RestartingHarness(1)
         await asyncio.sleep(1)
-        made.orders.engines["e0"].sequence = 7
-        made.shifter.want(MODEL, 2)
+        harness.orders.engines["e0"].sequence = 7
+        harness.shifter.want(MODEL, 2)
         await asyncio.sleep(0.2)
-        made.orders.start_again("e0", "e0@2", 1)
+        harness.orders.restart("e0", "e0@2", 1)
         await asyncio.sleep(1.2)
-        given = [(key, order.sequence) for key, order in made.orders.orders]
-        assert given == [("e0", 7), ("e0@2", 0)]
+        sent = [(key, order.sequence) for key, order in harness.orders.orders]
+        assert sent == [("e0", 7), ("e0@2", 0)]
         await asyncio.sleep(2)
-        assert made.versions == {2} and len(made.orders.orders) == 2
+        assert harness.versions == {2} and len(harness.orders.orders) == 2
 
-    run_virtual(scene())
+    run_virtual(async_case())
 
 
-def test_an_engine_that_is_further_than_its_entry_is_not_asked_without_pause() -> None:
-    """Its report tells of a newer start than the store does so far, for up to some seconds.
+def test_restarted_engine_not_yet_registered_is_not_polled_without_delay() -> None:
+    """For some seconds the engine reports a newer start than the one registered in the store.
 
-    Asked again at once, it would be asked a hundred times a second by the node that gives orders.
+    Without a delay, the node that sends orders would poll it a hundred times a second.
     """
 
-    async def scene() -> None:
-        made = RestartingScene(1)
+    async def async_case() -> None:
+        harness = RestartingHarness(1)
         await asyncio.sleep(1)
-        made.orders.over.add("e0")
-        made.shifter.want(MODEL, 2)
+        harness.orders.ended_starts.add("e0")
+        harness.shifter.want(MODEL, 2)
         await asyncio.sleep(2)
-        assert 2 <= made.orders.asked <= 8 and made.orders.orders == []
+        assert 2 <= harness.orders.report_requests <= 8 and harness.orders.orders == []
 
-    run_virtual(scene())
+    run_virtual(async_case())
 
 
-def test_a_restart_moves_no_model_to_another_engine() -> None:
-    """Two models share four engines; one starts again with what it had.
+def test_restart_does_not_move_models_to_other_engines() -> None:
+    """Two models share four engines, and one engine restarts with the versions it had.
 
-    Placed by its start, models would change places, and engines that serve one would load the other.
+    Placed by start, models would move, and engines that serve one model would load the other.
     """
-    by_start = [f"e{number}@1" for number in range(4)]
-    again = ["e0@2", *by_start[1:]]
+    start_keys = [f"e{number}@1" for number in range(4)]
+    restarted = ["e0@2", *start_keys[1:]]
     placed = []
-    for keys in (by_start, again):
+    for keys in (start_keys, restarted):
         views = [EngineView(key, {}, key.partition("@")[0]) for key in keys]
-        found = place_on_engines({"m0": 0, "m1": 0}, views)
-        placed.append({model: [key.partition("@")[0] for key in at] for model, at in found.items()})
+        placement = place_on_engines({"m0": 0, "m1": 0}, views)
+        placed.append(
+            {
+                model: [key.partition("@")[0] for key in starts]
+                for model, starts in placement.items()
+            }
+        )
     assert placed[0] == placed[1]
     assert place_on_engines({"m0": 0}, [EngineView("e5", {})]) == {"m0": ["e5"]}
--- a/tests/weights/test_swap_state.py
+++ b/tests/weights/test_swap_state.py
@@ -1,4 +1,4 @@
-"""The swap aggregate: never back, never guessed, always repaired."""
+"""Test that SwapState never goes back to an older record and always recovers from failures."""
 
 from datetime import timedelta
 from typing import Any
@@ -16,14 +16,14 @@
 
 @pytest.fixture
 def state() -> SwapState:
-    """Return a state that has to bring the engine to version 7 by record 10."""
+    """Return a state whose target is version 7, requested by the record at offset 10."""
     state = SwapState(LAG)
     state.set_target(7, 10)
     return state
 
 
-def swapped(state: SwapState) -> SwapState:
-    """Let the needed order end well at T0."""
+def complete_swap(state: SwapState) -> SwapState:
+    """Complete the needed order successfully at T0."""
     order = state.needed()
     assert order is not None
     state.begin(order)
@@ -32,7 +32,7 @@
 
 
 def test_older_record_never_lowers_the_target(state: SwapState) -> None:
-    """A lower version by a newer record is taken, a newer version by an older record is not."""
+    """A newer record sets a lower version; an older record with a newer version is ignored."""
     assert not state.set_target(9, 9)
     assert state.target == SwapOrder(7, 10)
     assert state.set_target(6, 11)
@@ -40,11 +40,11 @@
 
 
 def test_failed_swap_leaves_the_version_unknown_and_is_ordered_again(state: SwapState) -> None:
-    """The engine fails half way through a swap.
+    """The engine fails in the middle of a swap.
 
-    What is seen: nothing is assumed of what it serves, and the order is given again.
+    The version that it serves is unknown, and the order is needed again.
     """
-    swapped(state)
+    complete_swap(state)
     state.set_target(8, 12)
     order = state.needed()
     state.begin(order)
@@ -56,7 +56,7 @@
 def test_engine_that_serves_another_version_than_ordered_is_ordered_again(
     state: SwapState,
 ) -> None:
-    """The engine answers the order with another version; it is counted and not believed done."""
+    """The engine responds with another version: the swap is counted as a problem, not as done."""
     order = state.needed()
     state.begin(order)
     assert not state.on_loaded(order, 5, T0)
@@ -64,16 +64,16 @@
     assert state.troubles[SwapTrouble.OTHER_VERSION] == 1
 
 
-def test_report_from_before_the_swap_does_not_bring_a_second_one(state: SwapState) -> None:
-    """A load report lags, and still shows the old version just after the swap."""
-    swapped(state)
+def test_report_made_before_the_swap_does_not_cause_a_second_swap(state: SwapState) -> None:
+    """A load report is delayed and still shows the old version just after the swap."""
+    complete_swap(state)
     state.on_report(6, 0, T0 + timedelta(seconds=1))
     assert state.needed() is None
 
 
-def test_engine_that_restarted_with_older_weights_is_repaired(state: SwapState) -> None:
-    """The engine crashes, comes back with the weights of its image, and reports them."""
-    swapped(state)
+def test_engine_that_restarted_with_older_weights_is_ordered_again(state: SwapState) -> None:
+    """The engine crashes, restarts with the weights of its image and reports them."""
+    complete_swap(state)
     state.on_report(7, 10, T0 + LAG)
     assert state.verified
     state.on_report(1, 0, T0 + 3 * LAG)
@@ -81,18 +81,18 @@
     assert not state.verified
 
 
-def test_restarted_side_process_orders_nothing_the_engine_already_serves() -> None:
-    """A side process that restarted reads the engine's report before its first order."""
+def test_restarted_side_process_does_not_order_the_version_already_served() -> None:
+    """A restarted side process reads the engine's report before its first order."""
     state = SwapState(LAG)
     state.on_report(7, 10, T0)
     state.set_target(7, 10)
     assert state.needed() is None
 
 
-def test_nothing_is_ordered_below_the_engines_own_fence() -> None:
-    """The predecessor of a restarted side process gave an order that this one has not seen.
+def test_nothing_is_ordered_below_the_fencing_token_of_the_engine() -> None:
+    """Before its restart, the side process sent an order for a record that it has not read again yet.
 
-    What is seen: no order by the older record, until the newer one is folded.
+    Nothing is ordered for the older record; the newer record is ordered once it has been read.
     """
     state = SwapState(LAG)
     state.on_report(8, 12, T0)
@@ -103,7 +103,7 @@
 
 
 def test_stale_fence_stops_orders_until_a_newer_record(state: SwapState) -> None:
-    """The engine refuses the fencing number: repeating it could never succeed."""
+    """The engine rejects the fencing token; sending the order again could never succeed."""
     order = state.needed()
     state.begin(order)
     state.on_stale_fence(order, T0)
@@ -113,16 +113,16 @@
 
 
 @pytest.mark.parametrize(("version", "fence"), [("7", 0), (True, 0), (-1, 0), (7, -1), (7, None)])
-def test_nonsense_report_changes_nothing(state: SwapState, version: Any, fence: Any) -> None:
-    """A report out of range is refused and counted."""
-    swapped(state)
+def test_invalid_report_is_ignored(state: SwapState, version: Any, fence: Any) -> None:
+    """A report with a wrong type or a value out of range is rejected and counted."""
+    complete_swap(state)
     state.on_report(version, fence, T0 + LAG)
     assert (state.serving, state.needed()) == (7, None)
     assert state.troubles[SwapTrouble.BAD_REPORT] == 1
 
 
 class SwapMachine(RuleBasedStateMachine):
-    """Records, orders, failures, restarts of engine and side process, reports that lag."""
+    """Mix records, orders, failures, restarts of engine and side process, and delayed reports."""
 
     @initialize(checks_fence=st.booleans())
     def start(self, checks_fence: bool) -> None:
@@ -141,7 +141,7 @@
 
     @rule(version=st.integers(0, 4), folded=st.booleans())
     def publish(self, version: int, folded: bool) -> None:
-        """Publish weights; the side process may hear of it only later."""
+        """Publish a weights record that the side process reads now or later."""
         self.offset += 1
         self.record = (version, self.offset)
         if folded:
@@ -149,19 +149,19 @@
 
     @rule()
     def fold(self) -> None:
-        """Hear of the newest record."""
+        """Read the newest record."""
         self.state.set_target(*self.record)
 
     @rule(back=st.integers(0, 3), version=st.integers(0, 4))
-    def hear_of_an_old_record(self, back: int, version: int) -> None:
-        """Hear of a record that was overtaken."""
+    def handle_superseded_record(self, back: int, version: int) -> None:
+        """Read a record that is not newer than the target."""
         if self.state.target is not None and self.state.target.fence > back:
             self.state.set_target(version, self.state.target.fence - back)
 
     @precondition(lambda self: self.order is None)
     @rule()
     def begin(self) -> None:
-        """Send the order that is needed."""
+        """Send the needed order."""
         order = self.state.needed()
         if order is not None and self.state.begin(order):
             assert order.fence >= self.engine_fence or order.fence >= self.state.highest_fence
@@ -170,7 +170,7 @@
     @precondition(lambda self: self.order is not None)
     @rule(outcome=st.sampled_from(["loaded", "half", "lost", "busy", "other"]))
     def end(self, outcome: str) -> None:
-        """Let the engine act on the order, and answer or not."""
+        """Let the engine execute the order, with or without a response."""
         order, self.order = self.order, None
         self.now += timedelta(seconds=1)
         if self.checks_fence and order.fence < self.engine_fence:
@@ -189,7 +189,7 @@
 
     @rule(index=st.integers(0, 50))
     def answer_again(self, index: int) -> None:
-        """Let an answer to an earlier order come a second time."""
+        """Receive the response to an earlier order a second time."""
         if self.old_orders and self.order is None:
             old = self.old_orders[index % len(self.old_orders)]
             before = self.state.serving
@@ -198,7 +198,7 @@
 
     @rule()
     def restart_engine(self) -> None:
-        """Restart the engine: it serves version 0 and remembers no fence."""
+        """Restart the engine: it serves version 0 and has lost its fencing token."""
         self.engine, self.engine_fence = 0, 0
 
     @rule()
@@ -209,14 +209,14 @@
 
     @rule(seconds=st.integers(1, 5))
     def report(self, seconds: int) -> None:
-        """Let time pass and take a report of what is now."""
+        """Let time pass and receive an up-to-date load report."""
         self.now += timedelta(seconds=seconds)
         self.state.on_report(self.engine, self.engine_fence, self.now)
 
     @precondition(lambda self: self.order is None)
     @rule()
     def settle(self) -> None:
-        """With the newest record heard of and no more faults, the engine ends up serving it."""
+        """Once the newest record is read and failures stop, the engine ends up serving its version."""
         self.state.set_target(*self.record)
         for _ in range(4):
             self.now += 2 * LAG
@@ -232,7 +232,7 @@
 
     @invariant()
     def target_never_goes_back(self) -> None:
-        """Let the fence of the target only grow while the side process lives."""
+        """Check that the target's fencing token never decreases while the side process runs."""
         target = getattr(self, "state", None) and self.state.target
         if target is None:
             self.last_fence = 0
@@ -242,7 +242,7 @@
 
     @invariant()
     def one_order_at_a_time(self) -> None:
-        """While an order is out, no other is needed."""
+        """Check that no other order is needed while one is in flight."""
         if getattr(self, "order", None) is not None:
             assert self.state.needed() is None
 
--- a/tests/weights/test_weights_controller.py
+++ b/tests/weights/test_weights_controller.py
@@ -1,4 +1,4 @@
-"""The controller beside an engine: fenced, spread, verified, repaired, and never on old knowledge."""
+"""Test the controller in the side process that orders its engine to load weights."""
 
 import asyncio
 from datetime import timedelta
@@ -16,14 +16,14 @@
 from tests.configs.config_fakes import Cluster, FakeLog, service_data, weights_data
 from tests.virtual_time import run_virtual
 
-BUSY = PlatformError(PlatformReason.REFUSED, "store busy", status=503, retry_after_s=2.0)
-HALF = PlatformError(PlatformReason.REFUSED, "the swap failed half way", status=500)
-STALE = PlatformError(PlatformReason.STALE_FENCE, status=409)
+STORE_BUSY = PlatformError(PlatformReason.REFUSED, "store busy", status=503, retry_after_s=2.0)
+FAILED_MIDWAY = PlatformError(PlatformReason.REFUSED, "the swap failed half way", status=500)
+STALE_FENCE = PlatformError(PlatformReason.STALE_FENCE, status=409)
 SWAP_SECONDS = 0.5
 
 
 class FakeEngine(EnginePort):
-    """An engine that swaps, fails as told, and reports with a lag."""
+    """An engine that swaps or fails as set in `outcomes`; its reports are `lag` seconds old."""
 
     def __init__(self, version: int | None = 1, checks_fence: bool = True) -> None:
         self.version = version
@@ -37,35 +37,35 @@
     async def async_send(
         self, req: UpstreamRequest, timeout: timedelta
     ) -> Result[UpstreamBody, PlatformError]:
-        """Serve no requests."""
+        """Raise, since the controller sends no requests."""
         raise NotImplementedError
 
     async def async_cancel(self, request_id: str) -> Result[bool, PlatformError]:
-        """Know no streams."""
+        """Return False, since there are no requests to cancel."""
         return Ok(False)
 
     async def async_cache_events(
         self, after: int, wait: timedelta
     ) -> Result[list[dict[str, Any]], PlatformError]:
-        """Publish no events."""
+        """Return no events."""
         return Ok([])
 
     async def async_load_weights(
         self, model: str, version: int, fence: int, timeout: timedelta
     ) -> Result[int, PlatformError]:
-        """Swap, or do as told."""
+        """Swap, or produce the next of `outcomes`."""
         loop = asyncio.get_running_loop()
         self.orders.append((version, fence, loop.time()))
         if self.checks_fence and fence < self.fence:
-            return Err(STALE)
+            return Err(STALE_FENCE)
         self.fence = max(self.fence, fence)
         outcome = self.outcomes.pop(0) if self.outcomes else None
-        if outcome is BUSY:
-            return Err(BUSY)
+        if outcome is STORE_BUSY:
+            return Err(STORE_BUSY)
         if isinstance(outcome, Exception):
             raise outcome
         await asyncio.sleep(SWAP_SECONDS)
-        self.change(None if outcome is HALF else version)
+        self.change(None if outcome is FAILED_MIDWAY else version)
         if isinstance(outcome, PlatformError):
             return Err(outcome)
         if isinstance(outcome, int):
@@ -74,7 +74,7 @@
         return Ok(version)
 
     async def async_load(self) -> Result[EngineLoad, PlatformError]:
-        """Report what was so a while ago."""
+        """Return the load as it was `lag` seconds ago."""
         horizon = asyncio.get_running_loop().time() - self.lag
         seen = [row for row in self._reports if row[0] <= horizon]
         version, fence = seen[-1][1:] if seen else (self.first_version, 0)
@@ -86,20 +86,20 @@
         return self._first if hasattr(self, "_first") else self.version
 
     def change(self, version: int | None) -> None:
-        """Serve another version from now on."""
+        """Change the version that the engine serves."""
         if not hasattr(self, "_first"):
             self._first = self.version
         self.version = version
         self._reports.append((asyncio.get_running_loop().time(), version, self.fence))
 
     def restart(self, version: int) -> None:
-        """Come back with the weights of the image and no memory of fences."""
+        """Restart with the weights of the image and without a fencing token."""
         self.fence = 0
         self.change(version)
 
 
 class FixedSlots(SwapSlots):
-    """Give every sampler the same delay."""
+    """Give every engine the same swap delay."""
 
     def __init__(self, delay: float = 0.0) -> None:
         self._delay = timedelta(seconds=delay)
@@ -109,8 +109,8 @@
         return self._delay
 
 
-class Bench:
-    """Two entries, one side process with its controller, and an engine."""
+class Harness:
+    """Two gateways (entries), one side process with its controller, and an engine."""
 
     def __init__(self, engine: FakeEngine, slots: SwapSlots | None = None) -> None:
         self.log = FakeLog()
@@ -127,11 +127,11 @@
         self.task = asyncio.create_task(self.controller.async_run())
 
     async def async_publish(self, version: int, amends: int = 0) -> int:
-        """Publish weights and return the record's offset."""
+        """Publish a weights record and return its offset."""
         return await self.log.async_put(weights_data(version, amends))
 
     async def async_until_serving(self, version: int, within: float) -> float:
-        """Wait until the engine serves a version."""
+        """Wait until the engine serves a version and return the seconds it took."""
         loop = asyncio.get_running_loop()
         start = loop.time()
         while self.engine.version != version:
@@ -140,253 +140,255 @@
         return loop.time() - start
 
     def close(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         assert not self.task.done(), self.task
         self.task.cancel()
         self.cluster.close()
 
 
 def test_weights_record_reaches_the_engine_with_its_offset_as_fence() -> None:
-    """A record comes into force; the engine gets one order, fenced by the record's offset."""
+    """A record takes effect: the engine gets one order, with the record's offset as fencing token."""
 
     async def async_case() -> None:
-        bench = Bench(FakeEngine())
-        offset = await bench.async_publish(7)
-        assert await bench.async_until_serving(7, 4.0) < 3.0
+        harness = Harness(FakeEngine())
+        offset = await harness.async_publish(7)
+        assert await harness.async_until_serving(7, 4.0) < 3.0
         await asyncio.sleep(30)
-        assert [order[:2] for order in bench.engine.orders] == [(7, offset)]
-        assert bench.controller.state.verified
-        bench.close()
+        assert [order[:2] for order in harness.engine.orders] == [(7, offset)]
+        assert harness.controller.state.verified
+        harness.close()
 
     run_virtual(async_case())
 
 
-def test_swap_waits_for_its_turn() -> None:
-    """The sampler's turn comes 5 s after the version came into force."""
+def test_swap_waits_for_its_scheduled_delay() -> None:
+    """The engine's swap is scheduled 5 s after the version takes effect."""
 
     async def async_case() -> None:
-        bench = Bench(FakeEngine(), FixedSlots(5.0))
+        harness = Harness(FakeEngine(), FixedSlots(5.0))
         await asyncio.sleep(1)
-        await bench.async_publish(7)
-        assert 5.0 <= await bench.async_until_serving(7, 10.0) <= 6.5
-        bench.close()
+        await harness.async_publish(7)
+        assert 5.0 <= await harness.async_until_serving(7, 10.0) <= 6.5
+        harness.close()
 
     run_virtual(async_case())
 
 
-def test_newer_version_replaces_the_one_that_waits_for_its_turn() -> None:
-    """Two versions follow each other faster than the turn comes: only the last is fetched."""
+def test_newer_version_replaces_the_one_that_waits_for_its_delay() -> None:
+    """A second version is published during the delay of the first: only the second is loaded."""
 
     async def async_case() -> None:
-        bench = Bench(FakeEngine(), FixedSlots(5.0))
+        harness = Harness(FakeEngine(), FixedSlots(5.0))
         await asyncio.sleep(1)
-        offset = await bench.async_publish(7)
+        offset = await harness.async_publish(7)
         await asyncio.sleep(2)
-        await bench.async_publish(8, offset)
-        await bench.async_until_serving(8, 10.0)
-        assert [order[0] for order in bench.engine.orders] == [8]
-        bench.close()
+        await harness.async_publish(8, offset)
+        await harness.async_until_serving(8, 10.0)
+        assert [order[0] for order in harness.engine.orders] == [8]
+        harness.close()
 
     run_virtual(async_case())
 
 
-def test_busy_store_is_asked_again_no_sooner_than_it_said() -> None:
-    """The store refuses twice with Retry-After 2 s.
+def test_busy_store_is_not_retried_before_its_retry_after_time() -> None:
+    """The store rejects the fetch twice with Retry-After 2 s.
 
-    What is seen: the order is given again after 2 s and some jitter, until it succeeds.
+    The order is sent again after 2 s plus jitter each time, until it succeeds.
     """
 
     async def async_case() -> None:
-        bench = Bench(FakeEngine())
-        bench.engine.outcomes = [BUSY, BUSY]
-        await bench.async_publish(7)
-        await bench.async_until_serving(7, 10.0)
-        times = [order[2] for order in bench.engine.orders]
+        harness = Harness(FakeEngine())
+        harness.engine.outcomes = [STORE_BUSY, STORE_BUSY]
+        await harness.async_publish(7)
+        await harness.async_until_serving(7, 10.0)
+        times = [order[2] for order in harness.engine.orders]
         assert len(times) == 3
         assert all(later - sooner >= 2.0 for sooner, later in zip(times, times[1:], strict=False))
-        assert bench.metrics.value("cranberryline_weight_orders_total", outcome="store_busy") == 2
-        bench.close()
+        assert harness.metrics.value("cranberryline_weight_orders_total", outcome="store_busy") == 2
+        harness.close()
 
     run_virtual(async_case())
 
 
-@pytest.mark.parametrize("outcome", [HALF, PlatformError(PlatformReason.CUT), 3])
-def test_swap_that_goes_wrong_is_repaired(outcome: Any) -> None:
-    """A swap fails half way, its answer is lost, or another version is loaded than was ordered.
+@pytest.mark.parametrize("outcome", [FAILED_MIDWAY, PlatformError(PlatformReason.CUT), 3])
+def test_failed_swap_is_ordered_again(outcome: Any) -> None:
+    """A swap fails midway, its response is lost, or it loads another version than ordered.
 
-    What is seen: the engine serves the version in force within seconds, by the same fence.
+    The engine serves the target version within seconds, ordered with the same fencing token.
     """
 
     async def async_case() -> None:
-        bench = Bench(FakeEngine())
-        bench.engine.outcomes = [outcome]
-        offset = await bench.async_publish(7)
-        await bench.async_until_serving(7, 4.0)
+        harness = Harness(FakeEngine())
+        harness.engine.outcomes = [outcome]
+        offset = await harness.async_publish(7)
+        await harness.async_until_serving(7, 4.0)
         await asyncio.sleep(15)
-        assert bench.engine.version == 7
-        assert bench.controller.state.verified
-        assert {order[1] for order in bench.engine.orders} == {offset}
-        bench.close()
+        assert harness.engine.version == 7
+        assert harness.controller.state.verified
+        assert {order[1] for order in harness.engine.orders} == {offset}
+        harness.close()
 
     run_virtual(async_case())
 
 
-def test_engine_that_restarted_is_brought_back() -> None:
-    """The engine crashes and comes back with version 1, minutes after the swap.
+def test_restarted_engine_is_ordered_to_load_the_target_version() -> None:
+    """The engine crashes and restarts with version 1, two minutes after the swap.
 
-    What is seen: it serves the version in force again within a poll of 5 s, its report's lag and
-    the swap. Nobody publishes anything.
+    Without a new record it serves the target version again within a poll interval of 5 s, the lag
+    of its report and the duration of a swap.
     """
 
     async def async_case() -> float:
-        bench = Bench(FakeEngine())
-        await bench.async_publish(7)
-        await bench.async_until_serving(7, 4.0)
+        harness = Harness(FakeEngine())
+        await harness.async_publish(7)
+        await harness.async_until_serving(7, 4.0)
         await asyncio.sleep(120)
-        bench.engine.restart(1)
-        took = await bench.async_until_serving(7, 10.0)
-        bench.close()
-        return took
+        harness.engine.restart(1)
+        duration = await harness.async_until_serving(7, 10.0)
+        harness.close()
+        return duration
 
     assert run_virtual(async_case()) < 8.0
 
 
-def test_side_process_that_restarted_orders_nothing_anew() -> None:
-    """The engine already serves the version in force when the side process starts."""
+def test_restarted_side_process_does_not_order_the_version_already_served() -> None:
+    """The engine already serves the target version when the side process starts."""
 
     async def async_case() -> None:
         engine = FakeEngine(version=7)
-        bench = Bench(engine)
-        await bench.async_publish(7)
+        harness = Harness(engine)
+        await harness.async_publish(7)
         await asyncio.sleep(20)
         assert engine.orders == []
-        assert bench.controller.state.verified
-        bench.close()
+        assert harness.controller.state.verified
+        harness.close()
 
     run_virtual(async_case())
 
 
-def test_no_order_while_no_entry_can_confirm() -> None:
-    """The side process loses all entries after a weights record, before its turn.
+def test_nothing_is_ordered_while_no_gateway_confirms_the_record() -> None:
+    """The side process loses its connection to all gateways between a record and its swap.
 
-    What is seen: no order, since a newer record may be in force; one within seconds of an entry's
-    return, by the newest record.
+    It orders nothing, since a newer record may exist. Within seconds of the reconnection it orders
+    the version of the newest record.
     """
 
     async def async_case() -> None:
-        bench = Bench(FakeEngine(), FixedSlots(1.0))
+        harness = Harness(FakeEngine(), FixedSlots(1.0))
         await asyncio.sleep(1)
-        offset = await bench.async_publish(7)
-        await bench.cluster.async_until_all_have(offset, 2.0)
-        bench.cluster.cut = {frozenset(("entry-0", "side-0")), frozenset(("entry-1", "side-0"))}
-        await bench.async_publish(8, offset)
+        offset = await harness.async_publish(7)
+        await harness.cluster.async_until_all_have(offset, 2.0)
+        harness.cluster.cut = {frozenset(("entry-0", "side-0")), frozenset(("entry-1", "side-0"))}
+        await harness.async_publish(8, offset)
         await asyncio.sleep(20)
-        assert bench.engine.orders == []
-        bench.cluster.cut = set()
-        await bench.async_until_serving(8, 10.0)
-        assert [order[0] for order in bench.engine.orders] == [8]
-        bench.close()
+        assert harness.engine.orders == []
+        harness.cluster.cut = set()
+        await harness.async_until_serving(8, 10.0)
+        assert [order[0] for order in harness.engine.orders] == [8]
+        harness.close()
 
     run_virtual(async_case())
 
 
-def test_pause_before_the_order_makes_the_knowledge_old() -> None:
-    """The process is paused for a minute just after an entry confirmed its fold.
+def test_order_is_not_sent_when_a_pause_made_its_confirmation_too_old() -> None:
+    """The process is paused for a minute just after a gateway confirmed its configuration.
 
-    A newer record came into force meanwhile, and the engine does not check fences. What is seen:
-    the order by the older record is not given; the process asks again and orders the newer.
+    A newer record takes effect meanwhile, and the engine does not check fencing tokens. The order
+    for the older record is not sent; the process asks again and orders the newer version.
     """
 
     async def async_case() -> None:
-        bench = Bench(FakeEngine(checks_fence=False))
-        confirm = bench.side.async_confirm
-        paused: list[bool] = []
+        harness = Harness(FakeEngine(checks_fence=False))
+        confirm = harness.side.async_confirm
+        pauses: list[bool] = []
 
         async def async_confirm(wait: timedelta) -> Any:
             answer = await confirm(wait)
-            if isinstance(answer, Ok) and not paused:
-                paused.append(True)
-                bench.cluster.cut = {frozenset((name, "side-0")) for name in ("entry-0", "entry-1")}
-                await bench.async_publish(8, offset)
+            if isinstance(answer, Ok) and not pauses:
+                pauses.append(True)
+                harness.cluster.cut = {
+                    frozenset((name, "side-0")) for name in ("entry-0", "entry-1")
+                }
+                await harness.async_publish(8, offset)
                 await asyncio.sleep(60)
-                bench.cluster.cut = set()
+                harness.cluster.cut = set()
             return answer
 
-        bench.side.async_confirm = async_confirm  # type: ignore[method-assign]
-        offset = await bench.async_publish(7)
-        await bench.async_until_serving(8, 80.0)
-        assert paused
-        assert [order[0] for order in bench.engine.orders] == [8]
-        assert bench.metrics.value("cranberryline_retries_total", reason="weights_knowledge_old")
-        bench.close()
+        harness.side.async_confirm = async_confirm  # type: ignore[method-assign]
+        offset = await harness.async_publish(7)
+        await harness.async_until_serving(8, 80.0)
+        assert pauses
+        assert [order[0] for order in harness.engine.orders] == [8]
+        assert harness.metrics.value("cranberryline_retries_total", reason="weights_knowledge_old")
+        harness.close()
 
     run_virtual(async_case())
 
 
-def test_answer_that_waited_in_a_buffer_confirms_nothing() -> None:
-    """A confirmation is asked for, its answer comes only after a minute, as after a pause.
+def test_confirmation_is_dated_by_its_request_not_by_its_response() -> None:
+    """The response to a confirmation request arrives 30 s late, as after a pause of the process.
 
-    What is seen: the time that counts is when it was asked, so the answer is too old to act on.
+    The confirmation has the time of the request, so it is too old to send an order.
     """
 
     async def async_case() -> None:
-        bench = Bench(FakeEngine())
+        harness = Harness(FakeEngine())
         await asyncio.sleep(1)
-        side = bench.side
-        before = bench.cluster.clock.monotonic()
+        side = harness.side
+        before = harness.cluster.clock.monotonic()
         confirmed = await side.async_confirm(timedelta(seconds=1))
         assert confirmed.unwrap() - before < timedelta(seconds=0.2)
-        bench.cluster.cut = {frozenset(("entry-0", "side-0")), frozenset(("entry-1", "side-0"))}
+        harness.cluster.cut = {frozenset(("entry-0", "side-0")), frozenset(("entry-1", "side-0"))}
         asked = asyncio.create_task(side.async_confirm(timedelta(seconds=60)))
         await asyncio.sleep(30)
-        side.on_message("entry-0", bench.cluster.nodes["entry-0"].sync.relay.delta_since(99))
+        side.on_message("entry-0", harness.cluster.nodes["entry-0"].sync.relay.delta_since(99))
         answer = await asked
-        assert bench.cluster.clock.monotonic() - answer.unwrap() >= timedelta(seconds=29)
-        bench.close()
+        assert harness.cluster.clock.monotonic() - answer.unwrap() >= timedelta(seconds=29)
+        harness.close()
 
     run_virtual(async_case())
 
 
-def test_order_whose_answer_cannot_be_read_is_given_again() -> None:
-    """The engine's client raises over an answer that it was not written for.
+def test_order_is_sent_again_when_its_response_cannot_be_parsed() -> None:
+    """The engine's client raises an exception for an unexpected response.
 
-    What is seen: the version in force is served a few seconds later; no order stays in flight.
+    No order stays in flight, and the target version is served a few seconds later.
     """
 
     async def async_case() -> None:
-        bench = Bench(FakeEngine())
-        bench.engine.outcomes = [KeyError("weight_version")]
-        await bench.async_publish(7)
-        await bench.async_until_serving(7, 10.0)
-        assert bench.metrics.value("cranberryline_drops_total", reason="task_failed") == 1
-        bench.close()
+        harness = Harness(FakeEngine())
+        harness.engine.outcomes = [KeyError("weight_version")]
+        await harness.async_publish(7)
+        await harness.async_until_serving(7, 10.0)
+        assert harness.metrics.value("cranberryline_drops_total", reason="task_failed") == 1
+        harness.close()
 
     run_virtual(async_case())
 
 
-def test_stale_fence_is_not_repeated() -> None:
-    """The engine has had a higher fencing number from a predecessor of this process.
+def test_order_with_a_stale_fencing_token_is_not_repeated() -> None:
+    """The engine has accepted a higher fencing token from an earlier run of this process.
 
-    What is seen: one order at most, then none until a newer record.
+    At most one order is sent, then none until a newer record.
     """
 
     async def async_case() -> None:
         engine = FakeEngine()
         engine.fence = 50
         engine.lag = 1000.0
-        bench = Bench(engine)
-        offset = await bench.async_publish(7)
+        harness = Harness(engine)
+        offset = await harness.async_publish(7)
         await asyncio.sleep(3)
         assert len(engine.orders) <= 1
         assert engine.version == 1
         assert offset < 50
-        bench.close()
+        harness.close()
 
     run_virtual(async_case())
 
 
-def test_slots_spread_the_swaps_of_a_service() -> None:
-    """Each of 20 samplers works out its own turn; no two share one, and the store's rate holds."""
+def test_swap_delays_are_spread_at_the_rate_of_the_store() -> None:
+    """Each of 20 engines computes its own delay; they are 0.25 s apart, as the store's rate allows."""
     names = [f"vm-{number}" for number in range(20)]
     spec = ServiceSpec("engine", "m", fetches_per_second=4.0, swap_fraction=1.0)
     delays = sorted(ShiftSlots(name, lambda: names).delay(spec, 7) for name in names)
