--- a/cranberryline/gateway/app.py
+++ b/cranberryline/gateway/app.py
@@ -34,7 +34,7 @@
 from cranberryline.settings import GatewaySettings
 from cranberryline.upstreams.directory import Directory, Registration
 from cranberryline.weights.lags import TrainerLags
-from cranberryline.weights.shift import VersionShifter
+from cranberryline.weights.shift import VersionScheduler
 
 from .handler import GatewayContext, ReadyHandler
 from .holds import PATH_HOLDS, HoldsHandler, QuarantineParts, make_quarantine
@@ -145,7 +145,7 @@
             )
         )
         self.lease = LeaseKeeper(self.store, cfg.vm_id, cfg.lease, clock, self.health)
-        self.shifter = VersionShifter(
+        self.version_scheduler = VersionScheduler(
             platform.orders(self.directory.get),
             self.lease,
             self.registrations.engines,
@@ -219,7 +219,7 @@
         self._spawn(self.nodes.async_run())
         self._spawn(self.runner.async_run())
         self._spawn(self.lease.async_run())
-        self._spawn(self.shifter.async_run())
+        self._spawn(self.version_scheduler.async_run())
         self._spawn(self._async_tick())
         _LOGGER.info("started", vm_id=self._cfg.vm_id, data_center=self._cfg.data_center)
 
@@ -257,7 +257,7 @@
         await self.runner.async_close()
         await self.jobs.async_close()
         await self.quarantine.async_close()
-        await self.shifter.async_close()
+        await self.version_scheduler.async_close()
 
     def _first_tails(self) -> tuple[KeyedTail, ...]:
         """Return what is read before plain requests and jobs can be served as they should."""
@@ -317,7 +317,7 @@
         if isinstance(change, RouteTable):
             self.routes.apply(change)
         elif isinstance(change, NamedVersion):
-            self.shifter.want(change.model, change.version)
+            self.version_scheduler.request_version(change.model, change.version)
 
     def _on_routes(self, table: RouteTable) -> None:
         self._limits.max_body_bytes = table.limits.body_bytes
@@ -353,13 +353,15 @@
 
     def _lag(self, model: str) -> int:
         """Return how many versions before the named one the model's trainer allows."""
-        return self._lags.lag(model, self.shifter.wanted.get(model, 0))
+        return self._lags.allowed_lag(
+            model, self.version_scheduler.requested_versions.get(model, 0)
+        )
 
     def _on_job(self, state: JobState) -> None:
         job = state.head
         if job.min_version is not None and not state.listed and not state.ended:
-            named = self.shifter.wanted.get(job.model, 0)
-            self._lags.note(job.model, job.min_version, named)
+            named = self.version_scheduler.requested_versions.get(job.model, 0)
+            self._lags.record_job(job.model, job.min_version, named)
 
     def _one_version(self, service: str) -> bool:
         """Tell whether some route wants each text made by one version."""
--- a/cranberryline/gateway/registrations.py
+++ b/cranberryline/gateway/registrations.py
@@ -8,7 +8,7 @@
 from cranberryline.routes import ActiveRoutes, RouteTable
 from cranberryline.upstreams.directory import Directory, Registration
 from cranberryline.upstreams.errors import RegistrationProblem
-from cranberryline.weights.shift import EngineView
+from cranberryline.weights.shift import EngineStart
 
 __all__ = ["Registrations"]
 
@@ -43,10 +43,10 @@
             return
         self._put(row.unwrap())
 
-    def engines(self) -> dict[str, list[EngineView]]:
+    def engines(self) -> dict[str, list[EngineStart]]:
         """Return the starts of engines that take orders, by service."""
         return {
-            service: [EngineView(row.key, self._versions(row), row.id) for row in rows]
+            service: [EngineStart(row.key, self._versions(row), row.id) for row in rows]
             for service, rows in self._directory.engines().items()
         }
 
--- a/cranberryline/side/weights.py
+++ b/cranberryline/side/weights.py
@@ -132,7 +132,7 @@
 
     def _ready(self) -> bool:
         return (
-            self.state.needed() is not None
+            self.state.needed_order() is not None
             and self._spec() is not None
             and self._clock.monotonic() >= self._due
         )
@@ -140,7 +140,7 @@
     def _wait(self) -> timedelta:
         now = self._clock.monotonic()
         waits = [self._next_poll - now]
-        if self.state.needed() is not None and self._spec() is not None:
+        if self.state.needed_order() is not None and self._spec() is not None:
             waits.append(self._due - now)
         return max(min(waits), timedelta(milliseconds=1))
 
@@ -161,7 +161,7 @@
             self.on_load(answer.ok_value, asked)
         else:
             self._drop(DROP_BAD_LOAD + answer.err_value.reason.value)
-        settled = self.state.verified and self.state.needed() is None
+        settled = self.state.verified and self.state.needed_order() is None
         self._next_poll = self._clock.monotonic() + (POLL_SETTLED if settled else POLL_UNSETTLED)
 
     def on_load(self, load: EngineLoad, asked_at: timedelta) -> None:
@@ -174,7 +174,7 @@
             self._retry(RETRY_UNCONFIRMED, MIN_BACKOFF)
             return
         self._take_target()
-        order, spec = self.state.needed(), self._spec()
+        order, spec = self.state.needed_order(), self._spec()
         if order is None or spec is None or not self._ready():
             return
         # A process that was paused here acts on what it knew before the pause, and would take the
--- a/cranberryline/weights/errors.py
+++ b/cranberryline/weights/errors.py
@@ -2,10 +2,10 @@
 
 import enum
 
-__all__ = ["SwapTrouble"]
+__all__ = ["SwapProblem"]
 
 
-class SwapTrouble(enum.StrEnum):
+class SwapProblem(enum.StrEnum):
     """Reason why an order, a response or a load report was rejected or has failed."""
 
     OLD_FENCE = "old_fence"  # a record with a lower offset than the current target
--- a/cranberryline/weights/lags.py
+++ b/cranberryline/weights/lags.py
@@ -16,16 +16,16 @@
 class TrainerLags:
     """Compute the allowed lag of each model from its trainer's newest job.
 
-    After a process start, all jobs of the last minutes are read again in any order, when the
-    requested version is newer than at the time of these jobs. So only the job with the highest
-    minimum version counts. An older job would give too large a lag: engines too old for the current
-    step would count as usable, and the step would wait for a version that is never ordered.
+    After a process start, all jobs of the last minutes are read again in any order, and the current
+    requested version is newer than it was at the time of the older jobs. So only the job with the
+    highest minimum version counts. An older job would give too large a lag: engines too old for the
+    current step would count as usable, and the step would wait for a version that is never ordered.
     """
 
     def __init__(self) -> None:
         self._newest: dict[str, _NewestJob] = {}
 
-    def note(self, model: str, min_version: int, requested_version: int) -> None:
+    def record_job(self, model: str, min_version: int, requested_version: int) -> None:
         """Record a job that allows `min_version` and newer.
 
         `requested_version` is the model's requested version when the job was read, 0 if unknown.
@@ -34,7 +34,7 @@
         if known is None or min_version >= known.min_version:
             self._newest[model] = _NewestJob(min_version, requested_version)
 
-    def lag(self, model: str, requested_version: int) -> int:
+    def allowed_lag(self, model: str, requested_version: int) -> int:
         """Return the allowed lag in versions, 0 if no job has been recorded yet.
 
         `requested_version` is used if it was unknown when the newest job was recorded.
--- a/cranberryline/weights/shift.py
+++ b/cranberryline/weights/shift.py
@@ -21,7 +21,7 @@
 from cranberryline.ports.errors import PlatformReason
 from cranberryline.ports.orders import OrderOutcome, OrderPort, VersionOrder
 
-__all__ = ["EngineView", "VersionShifter", "place_on_engines"]
+__all__ = ["EngineStart", "VersionScheduler", "place_on_engines"]
 
 _LOGGER = get_logger(__name__)
 
@@ -34,13 +34,13 @@
 
 
 @attrs.frozen
-class EngineView:
+class EngineStart:
     """One start of an engine (a run of its process), and the versions it is known to serve by model.
 
     `start_key` identifies the start. `engine_id` is the same for all starts of an engine; empty
     means the same as `start_key`. Models are placed by engine, because a restarted engine
-    serves the versions it had before. Placed by start, each restart would move models to other
-    engines and load them there.
+    serves the versions it had before. If they were placed by start, each restart would move models
+    to other engines and load them there.
     """
 
     start_key: str
@@ -57,7 +57,7 @@
     task: asyncio.Task[None]
 
 
-class VersionShifter:
+class VersionScheduler:
     """Order engines to load the requested versions while this node holds the lease.
 
     Only a limited number of each service's engines load at the same time.
@@ -67,7 +67,7 @@
         self,
         orders: OrderPort,
         lease: LeaseKeeper,
-        engines: Callable[[], dict[str, list[EngineView]]],
+        engines: Callable[[], dict[str, list[EngineStart]]],
         models: Callable[[str], tuple[str, ...]],
         allowed_lag: Callable[[str], int],
         finish_runs: Callable[[str], bool],
@@ -82,7 +82,7 @@
         `finish_runs` returns whether a service's engines finish their runs before they load.
         `record_version` is called with the start's key, the model and the version that it serves.
         """
-        self.wanted: dict[str, int] = {}
+        self.requested_versions: dict[str, int] = {}
         self._orders = orders
         self._lease = lease
         self._engines = engines
@@ -96,10 +96,10 @@
         self._requested_at: dict[str, timedelta] = {}
         self._loading: dict[str, _Load] = {}
 
-    def want(self, model: str, version: int) -> None:
+    def request_version(self, model: str, version: int) -> None:
         """Record the version that a trainer requests; a version that is not newer is ignored."""
-        if version > self.wanted.get(model, 0):
-            self.wanted[model] = version
+        if version > self.requested_versions.get(model, 0):
+            self.requested_versions[model] = version
             self._requested_at[model] = self._clock.monotonic()
             _LOGGER.info("version_named", model=model, version=version)
             self._wake.set()
@@ -142,14 +142,14 @@
                 self._start_load(engine, need.model, need.wanted, self._finish_runs(service))
 
     def _model_need(
-        self, model: str, lag: int, engines: list[str], engines_by_key: Mapping[str, EngineView]
+        self, model: str, lag: int, engines: list[str], engines_by_key: Mapping[str, EngineStart]
     ) -> ModelNeed:
         versions = {engine: engines_by_key[engine].versions.get(model, 0) for engine in engines}
         for engine, load in self._loading.items():
             if load.model == model and engine in versions:
                 versions[engine] = max(versions[engine], load.version)
         requested_at = self._requested_at.get(model, timedelta())
-        return ModelNeed(model, self.wanted.get(model, 0), lag, requested_at, versions)
+        return ModelNeed(model, self.requested_versions.get(model, 0), lag, requested_at, versions)
 
     def _start_load(self, engine: str, model: str, version: int, finish_runs: bool) -> None:
         task = asyncio.ensure_future(self._async_load(engine, model, version, finish_runs))
@@ -169,7 +169,9 @@
         """
         deadline = self._clock.monotonic() + _LOAD_TIMEOUT
         ordered = False
-        while self._clock.monotonic() < deadline and self.wanted.get(model, 0) == version:
+        while (
+            self._clock.monotonic() < deadline and self.requested_versions.get(model, 0) == version
+        ):
             reported = await self._orders.async_report(engine)
             if isinstance(reported, Err):
                 await self._clock.async_sleep(_RETRY_DELAY)
@@ -219,7 +221,7 @@
 
 
 def place_on_engines(
-    lags: Mapping[str, int], engines: Sequence[EngineView]
+    lags: Mapping[str, int], engines: Sequence[EngineStart]
 ) -> dict[str, list[str]]:
     """Return the keys of the engine starts that have to serve each model; `lags` is in versions."""
     start_keys = {engine.engine_id or engine.start_key: engine.start_key for engine in engines}
--- a/cranberryline/weights/swap.py
+++ b/cranberryline/weights/swap.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from .const import MAX_VERSION, REPORT_LAG
-from .errors import SwapTrouble
+from .errors import SwapProblem
 from .model import SwapOrder
 
 __all__ = ["SwapState"]
@@ -27,7 +27,7 @@
         self._verified = False
         self._last_order_ended_at: timedelta | None = None
         self._engine_fence = 0
-        self.troubles: Counter[SwapTrouble] = Counter()
+        self.problem_counts: Counter[SwapProblem] = Counter()
 
     @property
     def target(self) -> SwapOrder | None:
@@ -61,13 +61,13 @@
         """
         if self._target is not None and fence <= self._target.fence:
             if fence < self._target.fence:
-                self.troubles[SwapTrouble.OLD_FENCE] += 1
+                self.problem_counts[SwapProblem.OLD_FENCE] += 1
             return False
         self._target = SwapOrder(version, fence)
         self._verified = False
         return True
 
-    def needed(self) -> SwapOrder | None:
+    def needed_order(self) -> SwapOrder | None:
         """Return the order to send to the engine now, or None.
 
         An engine that reports a higher fencing token than the target's was ordered by an earlier
@@ -82,7 +82,7 @@
 
     def begin(self, order: SwapOrder) -> bool:
         """Mark an order as in flight; return False if it is no longer the needed one."""
-        if order != self.needed():
+        if order != self.needed_order():
             return False
         self._in_flight = order
         self._serving = None
@@ -94,12 +94,12 @@
         if not self._finish_order(order, now):
             return False
         if not _is_version(version):
-            self.troubles[SwapTrouble.BAD_REPORT] += 1
+            self.problem_counts[SwapProblem.BAD_REPORT] += 1
             return False
         self._serving = version
         self._engine_fence = max(self._engine_fence, order.fence)
         if version != order.version:
-            self.troubles[SwapTrouble.OTHER_VERSION] += 1
+            self.problem_counts[SwapProblem.OTHER_VERSION] += 1
             return False
         return True
 
@@ -110,7 +110,7 @@
         again, which is safe because it is idempotent.
         """
         if self._finish_order(order, now):
-            self.troubles[SwapTrouble.FAILED] += 1
+            self.problem_counts[SwapProblem.FAILED] += 1
 
     def on_not_started(self, order: SwapOrder, serving: int | None, now: timedelta) -> None:
         """Handle an order that the engine rejected before it changed anything.
@@ -119,13 +119,13 @@
         """
         if self._finish_order(order, now):
             self._serving = serving
-            self.troubles[SwapTrouble.NOT_STARTED] += 1
+            self.problem_counts[SwapProblem.NOT_STARTED] += 1
 
     def on_stale_fence(self, order: SwapOrder, now: timedelta) -> None:
         """Handle a fencing token that the engine rejected: only a newer record may be ordered."""
         if not self._finish_order(order, now):
             return
-        self.troubles[SwapTrouble.STALE_FENCE] += 1
+        self.problem_counts[SwapProblem.STALE_FENCE] += 1
         self._engine_fence = max(self._engine_fence, order.fence + 1)
 
     def on_report(self, version: Any, fence: Any, asked_at: timedelta) -> None:
@@ -136,7 +136,7 @@
         wastes the store's request quota and delays the engines' requests.
         """
         if (version is not None and not _is_version(version)) or not _is_fencing_token(fence):
-            self.troubles[SwapTrouble.BAD_REPORT] += 1
+            self.problem_counts[SwapProblem.BAD_REPORT] += 1
             return
         if self._in_flight is not None:
             return
@@ -149,13 +149,13 @@
             return
         self._engine_fence = fence
         if self._verified and version != self._serving:
-            self.troubles[SwapTrouble.OTHER_VERSION] += 1
+            self.problem_counts[SwapProblem.OTHER_VERSION] += 1
         self._serving = version
         self._verified = self._target is not None and version == self._target.version
 
     def _finish_order(self, order: SwapOrder, now: timedelta) -> bool:
         if order != self._in_flight:
-            self.troubles[SwapTrouble.LATE_ANSWER] += 1
+            self.problem_counts[SwapProblem.LATE_ANSWER] += 1
             return False
         self._in_flight = None
         self._last_order_ended_at = now
--- a/tests/configs/test_config_traces.py
+++ b/tests/configs/test_config_traces.py
@@ -119,7 +119,7 @@
 
     def begin(self, line: dict[str, Any]) -> list[int] | None:
         """Send the order that is needed, and return it."""
-        self.order = self.state.needed()
+        self.order = self.state.needed_order()
         assert self.order is not None
         self.state.begin(self.order)
         return [self.order.version, self.order.fence]
@@ -144,7 +144,7 @@
         return self.order
 
     def _needed(self) -> list[int] | None:
-        order = self.state.needed()
+        order = self.state.needed_order()
         return None if order is None else [order.version, order.fence]
 
 
--- a/tests/platform/test_foreign_records.py
+++ b/tests/platform/test_foreign_records.py
@@ -183,7 +183,10 @@
         assert counted == bad
         gateway._on_operator(KeyedRecord("config", msgspec.json.encode(config(6))))
         gateway._on_operator(KeyedRecord("version/m", VERSION))
-        assert gateway.routes.table.version == 6 and gateway.shifter.wanted == {"m": 4}
+        assert (
+            gateway.routes.table.version == 6
+            and gateway.version_scheduler.requested_versions == {"m": 4}
+        )
 
     run_virtual(scene())
 
--- a/tests/weights/test_lags.py
+++ b/tests/weights/test_lags.py
@@ -12,19 +12,19 @@
     """
     lags = TrainerLags()
     for min_version in (8, 2, 5):
-        lags.note("m", min_version, 9)
-    assert lags.lag("m", 9) == 1
+        lags.record_job("m", min_version, 9)
+    assert lags.allowed_lag("m", 9) == 1
 
 
 def test_job_read_before_the_requested_version_counts_once_the_version_is_known() -> None:
     """Jobs and requested versions are read from two topics, in any order."""
     lags = TrainerLags()
-    lags.note("m", 8, 0)
-    assert lags.lag("m", 9) == 1
+    lags.record_job("m", 8, 0)
+    assert lags.allowed_lag("m", 9) == 1
 
 
 def test_version_requested_after_the_job_does_not_increase_the_lag() -> None:
     """A version is requested before the job of its step is read; until then the lag stays the same."""
     lags = TrainerLags()
-    lags.note("m", 8, 9)
-    assert lags.lag("m", 10) == 1 and lags.lag("other", 10) == 0
+    lags.record_job("m", 8, 9)
+    assert lags.allowed_lag("m", 10) == 1 and lags.allowed_lag("other", 10) == 0
--- a/tests/weights/test_shift.py
+++ b/tests/weights/test_shift.py
@@ -11,7 +11,7 @@
 from cranberryline.leases import LeaseKeeper
 from cranberryline.ports.errors import PlatformError, PlatformReason
 from cranberryline.ports.orders import EngineReport, OrderOutcome, OrderPort, VersionOrder
-from cranberryline.weights.shift import EngineView, VersionShifter, place_on_engines
+from cranberryline.weights.shift import EngineStart, VersionScheduler, place_on_engines
 from tests.store_fake import FakeStore, StoreLink
 from tests.virtual_time import LoopClock, run_virtual
 
@@ -89,7 +89,7 @@
         self.link = StoreLink(FakeStore())
         health = StoreHealth(clock)
         self.lease = LeaseKeeper(self.link, "front-1", timedelta(seconds=3), clock, health)
-        self.shifter = VersionShifter(
+        self.version_scheduler = VersionScheduler(
             self.orders,
             self.lease,
             self._views,
@@ -103,13 +103,13 @@
         coroutines = (
             self.lease.tail.async_run(),
             self.lease.async_run(),
-            self.shifter.async_run(),
+            self.version_scheduler.async_run(),
         )
         self.tasks = [asyncio.ensure_future(coroutine) for coroutine in coroutines]
 
-    def _views(self) -> dict[str, list[EngineView]]:
+    def _views(self) -> dict[str, list[EngineStart]]:
         engines = self.orders.engines.items()
-        return {"s": [EngineView(name, {MODEL: engine.version}) for name, engine in engines]}
+        return {"s": [EngineStart(name, {MODEL: engine.version}) for name, engine in engines]}
 
     @property
     def versions(self) -> set[int]:
@@ -123,7 +123,7 @@
     async def async_case() -> None:
         harness = Harness(6)
         await asyncio.sleep(1)
-        harness.shifter.want(MODEL, 2)
+        harness.version_scheduler.request_version(MODEL, 2)
         await asyncio.sleep(5)
         assert harness.versions == {2}
         assert harness.orders.max_loading == 2
@@ -139,7 +139,7 @@
     async def async_case() -> None:
         harness = Harness(20)
         await asyncio.sleep(1)
-        harness.shifter.want(MODEL, 2)
+        harness.version_scheduler.request_version(MODEL, 2)
         await asyncio.sleep(4)
         assert harness.versions == {2}
         assert harness.orders.max_loading <= 8
@@ -157,9 +157,9 @@
         harness = Harness(1)
         await asyncio.sleep(1)
         harness.orders.engines["e0"].unanswered_orders = 1
-        harness.shifter.want(MODEL, 2)
+        harness.version_scheduler.request_version(MODEL, 2)
         await asyncio.sleep(1.5)
-        harness.shifter.want(MODEL, 3)
+        harness.version_scheduler.request_version(MODEL, 3)
         await asyncio.sleep(8)
         engine = harness.orders.engines["e0"]
         assert engine.version == 3
@@ -175,7 +175,7 @@
         harness = Harness(3)
         await asyncio.sleep(1)
         harness.orders.unreachable.add("e1")
-        harness.shifter.want(MODEL, 2)
+        harness.version_scheduler.request_version(MODEL, 2)
         await asyncio.sleep(4)
         outdated = {name for name, engine in harness.orders.engines.items() if engine.version == 1}
         assert outdated == {"e1"}
@@ -194,7 +194,7 @@
         await asyncio.sleep(1)
         harness.link.silent = True
         await asyncio.sleep(4)
-        harness.shifter.want(MODEL, 2)
+        harness.version_scheduler.request_version(MODEL, 2)
         await asyncio.sleep(4)
         assert harness.orders.orders == []
 
@@ -206,9 +206,9 @@
 
     async def async_case() -> None:
         harness = Harness(1)
-        harness.shifter.want(MODEL, 5)
-        harness.shifter.want(MODEL, 4)
-        assert harness.shifter.wanted == {MODEL: 5}
+        harness.version_scheduler.request_version(MODEL, 5)
+        harness.version_scheduler.request_version(MODEL, 4)
+        assert harness.version_scheduler.requested_versions == {MODEL: 5}
 
     run_virtual(async_case())
 
@@ -248,13 +248,13 @@
     def __init__(self, engines: int) -> None:
         super().__init__(engines)
         self.orders = RestartingOrders(engines)
-        self.shifter._orders = self.orders
+        self.version_scheduler._orders = self.orders
 
-    def _views(self) -> dict[str, list[EngineView]]:
+    def _views(self) -> dict[str, list[EngineStart]]:
         engines = self.orders.engines.items()
         return {
             "s": [
-                EngineView(key, {MODEL: engine.version}, key.partition("@")[0])
+                EngineStart(key, {MODEL: engine.version}, key.partition("@")[0])
                 for key, engine in engines
             ]
         }
@@ -271,7 +271,7 @@
         harness = RestartingHarness(1)
         await asyncio.sleep(1)
         harness.orders.engines["e0"].sequence = 7
-        harness.shifter.want(MODEL, 2)
+        harness.version_scheduler.request_version(MODEL, 2)
         await asyncio.sleep(0.2)
         harness.orders.restart("e0", "e0@2", 1)
         await asyncio.sleep(1.2)
@@ -293,7 +293,7 @@
         harness = RestartingHarness(1)
         await asyncio.sleep(1)
         harness.orders.ended_starts.add("e0")
-        harness.shifter.want(MODEL, 2)
+        harness.version_scheduler.request_version(MODEL, 2)
         await asyncio.sleep(2)
         assert 2 <= harness.orders.report_requests <= 8 and harness.orders.orders == []
 
@@ -309,7 +309,7 @@
     restarted = ["e0@2", *start_keys[1:]]
     placed = []
     for keys in (start_keys, restarted):
-        views = [EngineView(key, {}, key.partition("@")[0]) for key in keys]
+        views = [EngineStart(key, {}, key.partition("@")[0]) for key in keys]
         placement = place_on_engines({"m0": 0, "m1": 0}, views)
         placed.append(
             {
@@ -318,4 +318,4 @@
             }
         )
     assert placed[0] == placed[1]
-    assert place_on_engines({"m0": 0}, [EngineView("e5", {})]) == {"m0": ["e5"]}
+    assert place_on_engines({"m0": 0}, [EngineStart("e5", {})]) == {"m0": ["e5"]}
--- a/tests/weights/test_swap_state.py
+++ b/tests/weights/test_swap_state.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from cranberryline.weights import SwapOrder, SwapState, SwapTrouble
+from cranberryline.weights import SwapOrder, SwapProblem, SwapState
 
 LAG = timedelta(seconds=3)
 T0 = timedelta(seconds=100)
@@ -24,7 +24,7 @@
 
 def complete_swap(state: SwapState) -> SwapState:
     """Complete the needed order successfully at T0."""
-    order = state.needed()
+    order = state.needed_order()
     assert order is not None
     state.begin(order)
     assert state.on_loaded(order, order.version, T0)
@@ -46,29 +46,29 @@
     """
     complete_swap(state)
     state.set_target(8, 12)
-    order = state.needed()
+    order = state.needed_order()
     state.begin(order)
     state.on_failed(order, T0)
     assert state.serving is None
-    assert state.needed() == SwapOrder(8, 12)
+    assert state.needed_order() == SwapOrder(8, 12)
 
 
 def test_engine_that_serves_another_version_than_ordered_is_ordered_again(
     state: SwapState,
 ) -> None:
     """The engine responds with another version: the swap is counted as a problem, not as done."""
-    order = state.needed()
+    order = state.needed_order()
     state.begin(order)
     assert not state.on_loaded(order, 5, T0)
-    assert (state.serving, state.needed()) == (5, order)
-    assert state.troubles[SwapTrouble.OTHER_VERSION] == 1
+    assert (state.serving, state.needed_order()) == (5, order)
+    assert state.problem_counts[SwapProblem.OTHER_VERSION] == 1
 
 
 def test_report_made_before_the_swap_does_not_cause_a_second_swap(state: SwapState) -> None:
     """A load report is delayed and still shows the old version just after the swap."""
     complete_swap(state)
     state.on_report(6, 0, T0 + timedelta(seconds=1))
-    assert state.needed() is None
+    assert state.needed_order() is None
 
 
 def test_engine_that_restarted_with_older_weights_is_ordered_again(state: SwapState) -> None:
@@ -77,7 +77,7 @@
     state.on_report(7, 10, T0 + LAG)
     assert state.verified
     state.on_report(1, 0, T0 + 3 * LAG)
-    assert state.needed() == SwapOrder(7, 10)
+    assert state.needed_order() == SwapOrder(7, 10)
     assert not state.verified
 
 
@@ -86,7 +86,7 @@
     state = SwapState(LAG)
     state.on_report(7, 10, T0)
     state.set_target(7, 10)
-    assert state.needed() is None
+    assert state.needed_order() is None
 
 
 def test_nothing_is_ordered_below_the_fencing_token_of_the_engine() -> None:
@@ -97,19 +97,19 @@
     state = SwapState(LAG)
     state.on_report(8, 12, T0)
     state.set_target(7, 10)
-    assert state.needed() is None
+    assert state.needed_order() is None
     state.set_target(9, 14)
-    assert state.needed() == SwapOrder(9, 14)
+    assert state.needed_order() == SwapOrder(9, 14)
 
 
 def test_stale_fence_stops_orders_until_a_newer_record(state: SwapState) -> None:
     """The engine rejects the fencing token; sending the order again could never succeed."""
-    order = state.needed()
+    order = state.needed_order()
     state.begin(order)
     state.on_stale_fence(order, T0)
-    assert state.needed() is None
+    assert state.needed_order() is None
     state.set_target(8, 12)
-    assert state.needed() == SwapOrder(8, 12)
+    assert state.needed_order() == SwapOrder(8, 12)
 
 
 @pytest.mark.parametrize(("version", "fence"), [("7", 0), (True, 0), (-1, 0), (7, -1), (7, None)])
@@ -117,8 +117,8 @@
     """A report with a wrong type or a value out of range is rejected and counted."""
     complete_swap(state)
     state.on_report(version, fence, T0 + LAG)
-    assert (state.serving, state.needed()) == (7, None)
-    assert state.troubles[SwapTrouble.BAD_REPORT] == 1
+    assert (state.serving, state.needed_order()) == (7, None)
+    assert state.problem_counts[SwapProblem.BAD_REPORT] == 1
 
 
 class SwapMachine(RuleBasedStateMachine):
@@ -162,7 +162,7 @@
     @rule()
     def begin(self) -> None:
         """Send the needed order."""
-        order = self.state.needed()
+        order = self.state.needed_order()
         if order is not None and self.state.begin(order):
             assert order.fence >= self.engine_fence or order.fence >= self.state.highest_fence
             self.order = order
@@ -221,7 +221,7 @@
         for _ in range(4):
             self.now += 2 * LAG
             self.state.on_report(self.engine, self.engine_fence, self.now)
-            order = self.state.needed()
+            order = self.state.needed_order()
             if order is None:
                 break
             assert self.state.begin(order)
@@ -244,7 +244,7 @@
     def one_order_at_a_time(self) -> None:
         """Check that no other order is needed while one is in flight."""
         if getattr(self, "order", None) is not None:
-            assert self.state.needed() is None
+            assert self.state.needed_order() is None
 
 
 TestSwapMachine = SwapMachine.TestCase
