--- a/cranberryline/requests/__init__.py
+++ b/cranberryline/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Requests: what may run, what was not run, and what the caller may be told of it."""
+"""Request state on both ends of a dispatch, and the claims of idempotency keys."""
 
 from .attempt import EntryAttempt
 from .claims import ClaimFold, fingerprint, scoped_key
--- a/cranberryline/requests/claims.py
+++ b/cranberryline/requests/claims.py
@@ -1,4 +1,4 @@
-"""The fold of a service's claims: which claim of an idempotency key may run."""
+"""Claims of idempotency keys: log records, and the state derived from them."""
 
 import base64
 import binascii
@@ -44,12 +44,15 @@
 
 
 def scoped_key(caller: str, key: str) -> str:
-    """Return a key that two callers can't share, so that neither gets the other's answer."""
+    """Return the key qualified by its caller, so that no caller gets another caller's answer.
+
+    The length prefix prevents two pairs of caller and key from producing the same text.
+    """
     return f"{len(caller)}:{caller}:{key}"
 
 
 def fingerprint(method: str, path: str, body: bytes) -> str:
-    """Return a digest of a request, by which a key used for another request is noticed."""
+    """Return a digest of a request, used to detect a key that is reused for another request."""
     digest = hashlib.sha256()
     for part in (method.upper().encode(), path.encode(), body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -72,7 +75,7 @@
 
 
 def abandon_record(key: str, claim_id: str, side_incarnation: str) -> dict[str, Any]:
-    """Return the record that gives up a claim which never ran and never will."""
+    """Return the record that releases a claim whose request never ran and never will."""
     return {
         ATTR_KIND: KIND_ABANDON,
         ATTR_KEY: key,
@@ -84,7 +87,10 @@
 def outcome_record(
     key: str, claim_id: str, side_incarnation: str, outcome: ClaimOutcome
 ) -> dict[str, Any]:
-    """Return the record that settles a claim with its answer."""
+    """Return the record that settles a claim with its answer.
+
+    A body of more than `MAX_RECORDED_BODY` is left out.
+    """
     data: dict[str, Any] = {
         ATTR_KIND: KIND_OUTCOME,
         ATTR_KEY: key,
@@ -100,7 +106,7 @@
 
 
 def outcome_from_record(data: dict[str, Any]) -> Result[ClaimOutcome, RecordFault]:
-    """Read an answer back from its record."""
+    """Return the answer stored in a record, or a fault if the record is invalid."""
     try:
         body = data.get(ATTR_BODY)
         outcome = ClaimOutcome(
@@ -110,33 +116,36 @@
             digest=str(data.get(ATTR_DIGEST, "")),
         )
     except (KeyError, TypeError, ValueError, binascii.Error) as exc:
-        return Err(RecordFault(f"not an outcome: {exc!r}"))
+        return Err(RecordFault(f"invalid outcome record: {exc!r}"))
     return Ok(outcome)
 
 
 @attrs.define
 class ClaimFold:
-    """Fold the stream `claims.<service>`; every process that reads it decides the same.
+    """State derived from the records of the stream `claims.<service>`.
 
-    A claim wins if and only if no other claim of its key stands at its own offset. A claim that
-    loses is void for good: its owner tells its caller so, and it never stands later, even when
-    the winner is abandoned. Bodies stay on the log; the fold keeps their offsets only.
+    The result depends on the records only, so all processes that read the stream agree. A claim
+    becomes the active claim of its key if and only if the key has none at the claim's offset. A
+    claim that does not is void: its owner refuses the caller's request, so the claim must not
+    become active later, even if the active one is abandoned. Answers stay in the log; only their
+    offsets are kept here.
     """
 
-    window: timedelta = DEFAULT_CLAIM_WINDOW
-    next: int = 1
-    faults: int = 0
-    _standing: dict[str, Claim] = attrs.field(factory=dict)
-    _seen: dict[str, datetime] = attrs.field(factory=dict)
+    window: timedelta = DEFAULT_CLAIM_WINDOW  # claims expire this long after their log time
+    next: int = 1  # offset of the next record to apply
+    faults: int = 0  # number of invalid records that were skipped
+    _active: dict[str, Claim] = attrs.field(factory=dict)  # by key, in log order
+    _seen: dict[str, datetime] = attrs.field(factory=dict)  # log time by claim id
     _time: datetime | None = None
 
     def apply_page(self, page: LogPage) -> None:
-        """Apply the records of a page in order, and forget what the log itself forgot.
+        """Apply the records of a page in order and drop claims that the log no longer holds.
 
-        A process that starts now knows nothing below `page.first`. One that ran for longer must
-        forget as much, or the two would disagree on who holds a key and both could run it.
+        A process that starts now can't read records below `page.first`. A process that read them
+        earlier must drop them too; otherwise the two would disagree on the active claim of a key
+        and both could run the request.
         """
-        self._forget_below(page.first)
+        self._drop_below(page.first)
         for record in page.records:
             if record.offset >= self.next:
                 self._apply(record)
@@ -144,30 +153,30 @@
         self.next = max(self.next, page.next)
 
     def standing(self, key: str) -> Claim | None:
-        """Return the claim that holds a key, or None."""
-        return self._standing.get(key)
+        """Return the active claim of a key, or None."""
+        return self._active.get(key)
 
     def wins(self, key: str, claim_id: str) -> bool:
-        """Return whether this very claim holds its key."""
-        claim = self._standing.get(key)
+        """Return whether this claim is the active claim of its key."""
+        claim = self._active.get(key)
         return claim is not None and claim.claim_id == claim_id
 
     def has_seen(self, claim_id: str) -> bool:
-        """Return whether a claim has been read, whatever became of it."""
+        """Return whether a claim was read from the log within the window, active or not."""
         return claim_id in self._seen
 
     @property
     def time(self) -> datetime | None:
-        """Return the newest time that the log gave to a record."""
+        """Return the latest record time read from the log; windows are measured on this clock."""
         return self._time
 
     def _apply(self, record: LogRecord) -> None:
-        self._advance(record.time)
+        self._expire_claims(record.time)
         data = record.data
         kind, key, claim_id = (data.get(name) for name in (ATTR_KIND, ATTR_KEY, ATTR_CLAIM_ID))
         owner = data.get(ATTR_SIDE_INCARNATION)
-        texts = (key, claim_id, owner)
-        if not all(isinstance(text, str) and 0 < len(text) <= MAX_KEY_LENGTH for text in texts):
+        fields = (key, claim_id, owner)
+        if not all(isinstance(field, str) and 0 < len(field) <= MAX_KEY_LENGTH for field in fields):
             self.faults += 1
             return
         if kind == KIND_CLAIM:
@@ -180,65 +189,65 @@
             self.faults += 1
 
     def _apply_claim(self, record: LogRecord, key: str, claim_id: str, owner: str) -> None:
-        print_, budget_ms = record.data.get(ATTR_FINGERPRINT), record.data.get(ATTR_BUDGET_MS)
-        if not isinstance(print_, str) or not isinstance(budget_ms, int) or budget_ms < 0:
+        digest, budget_ms = record.data.get(ATTR_FINGERPRINT), record.data.get(ATTR_BUDGET_MS)
+        if not isinstance(digest, str) or not isinstance(budget_ms, int) or budget_ms < 0:
             self.faults += 1
             return
-        # An append that is repeated after a lost answer puts one claim on the log twice. The
-        # second copy could stand after the first was abandoned and block the key for everyone.
+        # An append that is retried after a lost answer can write a claim twice. The second copy
+        # must not become active after the first was abandoned: it would block the key.
         if claim_id in self._seen:
             return
         self._seen[claim_id] = self._time
-        if key not in self._standing:
+        if key not in self._active:
             budget = timedelta(milliseconds=budget_ms)
-            self._standing[key] = Claim(
-                key, claim_id, owner, print_, record.offset, self._time, budget
+            self._active[key] = Claim(
+                key, claim_id, owner, digest, record.offset, self._time, budget
             )
 
     def _apply_abandon(self, key: str, claim_id: str, owner: str) -> None:
-        # An abandon can overtake the late append of its own claim, which must not stand after it.
+        # An abandon can precede the delayed append of its own claim, which must then be ignored.
         self._seen.setdefault(claim_id, self._time)
-        claim = self._standing.get(key)
+        claim = self._active.get(key)
         if claim is None or claim.claim_id != claim_id or claim.side_incarnation != owner:
             return
-        # A settled claim has run; an abandon of it is a mistake and would let the key run again.
+        # A settled claim has run; abandoning it is an error and would allow a second run.
         if claim.state is ClaimState.CLAIMED:
-            del self._standing[key]
+            del self._active[key]
 
     def _apply_outcome(self, record: LogRecord, key: str, claim_id: str, owner: str) -> None:
-        claim = self._standing.get(key)
+        claim = self._active.get(key)
         if claim is None or claim.claim_id != claim_id or claim.side_incarnation != owner:
             return
         if claim.state is ClaimState.CLAIMED:
-            self._standing[key] = attrs.evolve(
+            self._active[key] = attrs.evolve(
                 claim, state=ClaimState.SETTLED, outcome_offset=record.offset
             )
 
-    def _advance(self, time: datetime) -> None:
+    def _expire_claims(self, time: datetime) -> None:
         self._time = time if self._time is None else max(self._time, time)
         limit = self._time - self.window
-        for key in _older(self._standing, limit):
-            del self._standing[key]
-        for claim_id in _older_ids(self._seen, limit):
+        for key in _expired_keys(self._active, limit):
+            del self._active[key]
+        for claim_id in _expired_claim_ids(self._seen, limit):
             del self._seen[claim_id]
 
-    def _forget_below(self, first: int) -> None:
-        gone = [key for key, claim in self._standing.items() if claim.offset < first]
-        for key in gone:
-            del self._standing[key]
+    def _drop_below(self, first: int) -> None:
+        dropped = [key for key, claim in self._active.items() if claim.offset < first]
+        for key in dropped:
+            del self._active[key]
 
 
-def _older(standing: dict[str, Claim], limit: datetime) -> list[str]:
-    # Claims are kept in log order, so the expired ones come first.
+def _expired_keys(active: dict[str, Claim], limit: datetime) -> list[str]:
+    # Claims are inserted in log order, so the expired ones come first.
     expired = []
-    for key, claim in standing.items():
+    for key, claim in active.items():
         if claim.time >= limit:
             break
         expired.append(key)
     return expired
 
 
-def _older_ids(seen: dict[str, datetime], limit: datetime) -> list[str]:
+def _expired_claim_ids(seen: dict[str, datetime], limit: datetime) -> list[str]:
     expired = []
     for claim_id, time in seen.items():
         if time >= limit:
--- a/cranberryline/requests/const.py
+++ b/cranberryline/requests/const.py
@@ -1,8 +1,8 @@
-"""Constants of requests: limits, record fields and the claims' stream."""
+"""Constants of requests: limits, and the stream and record fields of claims."""
 
 from datetime import timedelta
 
-STREAM_CLAIMS = "claims."  # followed by the service's name
+STREAM_CLAIMS = "claims."  # followed by the service name
 
 ATTR_BODY = "body"
 ATTR_BUDGET_MS = "budget_ms"
@@ -19,14 +19,15 @@
 KIND_CLAIM = "claim"
 KIND_OUTCOME = "outcome"
 
-# An answer up to this size is kept on the log; of a larger one only the digest.
+# Larger answer bodies are not stored in the log; their digest is.
 MAX_RECORDED_BODY = 16 * 1024
-MAX_KEY_LENGTH = 512
+MAX_KEY_LENGTH = 512  # characters; applies to scoped keys, claim ids and incarnations
 
-# How long a key is remembered. Must be below the log's retention, or the retention counts.
+# How long an idempotency key is remembered. The log's retention applies if it is shorter.
 DEFAULT_CLAIM_WINDOW = timedelta(hours=1)
-# A claim older than its own budget and this is told as unknown, no longer as in progress.
+# A claim older than its budget plus this margin is reported as `unknown` instead of `in_progress`.
 CLAIM_MARGIN = timedelta(seconds=5)
 
-# Ended ids remembered for each connection; ids below the forgotten ones are never vouched for.
+# Ended request ids kept per connection. For an evicted id the side process can no longer tell
+# whether the request ran.
 MAX_ENDED_IDS = 4096
--- a/cranberryline/requests/errors.py
+++ b/cranberryline/requests/errors.py
@@ -1,4 +1,4 @@
-"""Errors of requests."""
+"""Reasons and errors of requests and claims."""
 
 import enum
 from datetime import timedelta
@@ -11,7 +11,7 @@
 
 
 class NotRunReason(enum.StrEnum):
-    """Why a side process did not run a request; it vouches for each of these."""
+    """Why a side process did not run a request; each reason guarantees that it never will."""
 
     WRONG_INCARNATION = "wrong_incarnation"
     DEADLINE = "deadline"
@@ -20,7 +20,7 @@
 
 
 class SequenceFault(enum.StrEnum):
-    """Why an answer's frames do not make a whole answer."""
+    """Why the frames of an answer are out of sequence or incomplete."""
 
     CHUNK_GAP = "chunk_gap"
     CHUNK_BEFORE_HEAD = "chunk_before_head"
@@ -32,13 +32,17 @@
 
 @attrs.frozen
 class RecordFault:
-    """A record on the claims' stream that is none of ours; it changes nothing."""
+    """An invalid record in the claim stream; it is skipped."""
 
     detail: str
 
 
 class ClaimReason(enum.StrEnum):
-    """Why a keyed request was not run by this call."""
+    """Why a request with an idempotency key was not run by this call.
+
+    `in_progress`: another call with the key may still be running. `recorded`: the key has a
+    recorded answer, which is returned. `unknown`: an earlier run ended without a known result.
+    """
 
     IN_PROGRESS = "in_progress"
     RECORDED = "recorded"
@@ -49,7 +53,7 @@
 
 @attrs.frozen
 class ClaimRefused:
-    """A refused claim; `outcome` is the answer of the run that held the key before."""
+    """A refused claim; `outcome` is the recorded answer of the earlier run, if there is one."""
 
     reason: ClaimReason
     outcome: ClaimOutcome | None = None
--- a/cranberryline/requests/model.py
+++ b/cranberryline/requests/model.py
@@ -1,4 +1,4 @@
-"""Data of requests: keys, states, outcomes and claims."""
+"""Data classes and enums of requests, attempts and claims."""
 
 import enum
 from datetime import datetime, timedelta
@@ -23,7 +23,7 @@
 
 
 class Ran(enum.StrEnum):
-    """Whether a request ran, as far as the teller knows."""
+    """Whether a request ran, as far as the reporting process knows."""
 
     NO = "no"
     YES = "yes"
@@ -32,22 +32,23 @@
 
 @attrs.frozen
 class RequestKey:
-    """Name a request at a side process: ids are unique only within their connection."""
+    """Identify a request at a side process: ids are unique only within a connection."""
 
     connection: str
     id: int
 
 
 class SubmitOutcome(enum.StrEnum):
-    """What became of a Submit that was not refused."""
+    """The result of a Submit that was not refused."""
 
     QUEUED = "queued"
-    IGNORED = "ignored"  # a duplicate, or from a connection that is not open: no answer
-    FORGOTTEN = "forgotten"  # too old to vouch for: answer Failed, ran unknown
+    IGNORED = "ignored"  # duplicate, or the connection is not open; no answer is sent
+    # The id was evicted, so the request may have run before: answered by Failed, `ran` unknown.
+    FORGOTTEN = "forgotten"
 
 
 class WithdrawOutcome(enum.StrEnum):
-    """What the answer to a Withdraw says; only `not_run` is a promise."""
+    """The answer to a Withdraw; only `not_run` guarantees that the request never runs."""
 
     NOT_RUN = "not_run"
     STARTED = "started"
@@ -55,16 +56,16 @@
 
 
 class CancelOutcome(enum.StrEnum):
-    """What a Cancel asks of the runner."""
+    """What the runner must do after a Cancel."""
 
-    DROPPED = "dropped"  # it was queued and will not run
-    STOP = "stop"  # it runs and may be stopped
-    NOTHING = "nothing"  # it ended, was never here, or must run to its end
+    DROPPED = "dropped"  # the request was queued and is removed
+    STOP = "stop"  # the request is running and may be stopped
+    NOTHING = "nothing"  # it has ended, is not known, or must run to completion
 
 
 @attrs.frozen
 class AttemptDone:
-    """The whole answer came."""
+    """The complete answer was received."""
 
     status: int
     chunks: int
@@ -72,7 +73,7 @@
 
 @attrs.frozen
 class AttemptNotRun:
-    """The process that held the request vouches that it was not run."""
+    """The side process guarantees that the request did not and will not run."""
 
     reason: str
     retry_after: timedelta = timedelta()
@@ -80,7 +81,7 @@
 
 @attrs.frozen
 class AttemptUnknown:
-    """The request may have run (`ran` unknown) or did (`yes`), and no byte went to the caller."""
+    """The request may have run (`ran` is `unknown`) or did (`yes`); no byte was forwarded."""
 
     reason: str
     ran: Ran = Ran.UNKNOWN
@@ -88,7 +89,7 @@
 
 @attrs.frozen
 class AttemptBroken:
-    """The answer broke off after bytes of it went to the caller, whose answer must be cut."""
+    """The answer failed after bytes were forwarded; the caller's response must be aborted."""
 
     reason: str
 
@@ -98,7 +99,7 @@
 
 @attrs.frozen
 class ClaimOutcome:
-    """The answer recorded for a key; `body` is None when it was too large to keep."""
+    """The answer recorded for a key; `body` is None if it was too large to be recorded."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
@@ -107,7 +108,7 @@
 
 
 class ClaimState(enum.StrEnum):
-    """Where the standing claim of a key is."""
+    """The state of the active claim of a key: `claimed` may be running, `settled` has an answer."""
 
     CLAIMED = "claimed"
     SETTLED = "settled"
@@ -115,7 +116,11 @@
 
 @attrs.frozen
 class Claim:
-    """The standing claim of a key; `outcome_offset` is where its answer is recorded."""
+    """The active claim of a key.
+
+    `offset` and `time` are those of the claim record in the log, `budget` is the time limit of the
+    request. `outcome_offset` is the log offset of the recorded answer; 0 means none.
+    """
 
     key: str
     claim_id: str
--- a/cranberryline/requests/side_book.py
+++ b/cranberryline/requests/side_book.py
@@ -1,4 +1,4 @@
-"""The requests that a side process holds, and what it may truthfully say of each."""
+"""State of the requests that a side process received, by connection."""
 
 import enum
 from collections import OrderedDict
@@ -23,7 +23,7 @@
 
 
 @attrs.define
-class _Entry:
+class _TrackedRequest:
     deadline: timedelta
     idempotent: bool
     state: _State = _State.QUEUED
@@ -31,7 +31,10 @@
 
 @attrs.frozen
 class LostConnection:
-    """What follows from a lost connection: ids dropped as not run, and ids to stop."""
+    """Effects of a lost connection on its requests.
+
+    `dropped` were queued and will not run; `cancel` are running, idempotent and to be stopped.
+    """
 
     dropped: tuple[RequestKey, ...]
     cancel: tuple[RequestKey, ...]
@@ -39,34 +42,39 @@
 
 @attrs.define
 class _Connection:
-    live: dict[int, _Entry] = attrs.field(factory=dict)
+    live: dict[int, _TrackedRequest] = attrs.field(factory=dict)
     ended: OrderedDict[int, _State] = attrs.field(factory=OrderedDict)
-    floor: int = -1  # the highest id that was forgotten
+    max_evicted_id: int = -1
 
     def state(self, request_id: int) -> _State | None:
-        """Return where a request is, or None when this connection has not told of it."""
-        entry = self.live.get(request_id)
-        if entry is not None:
-            return entry.state
+        """Return the state of a request, or None if its id is unknown or was evicted."""
+        request = self.live.get(request_id)
+        if request is not None:
+            return request.state
         return self.ended.get(request_id)
 
     def end(self, request_id: int, state: _State) -> None:
-        """Move a request to the ended ones and forget the oldest beyond the bound."""
+        """Move a request to the ended ones; evict the oldest beyond `MAX_ENDED_IDS`."""
         self.live.pop(request_id, None)
         self.ended[request_id] = state
         while len(self.ended) > MAX_ENDED_IDS:
             oldest, _ = self.ended.popitem(last=False)
-            self.floor = max(self.floor, oldest)
+            self.max_evicted_id = max(self.max_evicted_id, oldest)
 
     def queued(self) -> list[int]:
-        """Return the ids that wait, in the order of their arrival."""
-        return [rid for rid, entry in self.live.items() if entry.state is _State.QUEUED]
+        """Return the queued ids in the order of their arrival."""
+        return [
+            request_id
+            for request_id, request in self.live.items()
+            if request.state is _State.QUEUED
+        ]
 
 
 class SideBook:
-    """Bind each request to its connection and decide what may run and what was not run.
+    """Track the requests of each connection and decide which of them may run.
 
-    Times are readings of one monotonic clock.
+    A request that was reported as not run never runs later, because the caller may have sent it
+    elsewhere. All times are readings of the same monotonic clock.
     """
 
     def __init__(self, incarnation: str) -> None:
@@ -77,21 +85,21 @@
 
     @property
     def draining(self) -> bool:
-        """Return whether new work is refused."""
+        """Return whether new requests are refused."""
         return self._draining
 
     @property
     def running(self) -> int:
-        """Count the requests that run, those of lost connections included."""
+        """Return the number of running requests, including those of lost connections."""
         return self._count(_State.RUNNING)
 
     @property
     def queued(self) -> int:
-        """Count the requests that wait."""
+        """Return the number of queued requests."""
         return self._count(_State.QUEUED)
 
     def open(self, connection: str) -> None:
-        """Take in a connection; its name is never used again for another one."""
+        """Register a connection; names must not be reused for a later connection."""
         if connection not in self._lost:
             self._connections.setdefault(connection, _Connection())
 
@@ -103,40 +111,44 @@
         idempotent: bool,
         now: timedelta,
     ) -> Result[SubmitOutcome, NotRunReason]:
-        """Queue a request, or refuse it with a reason that vouches for its not having run."""
+        """Queue a request, or refuse it with a reason that guarantees that it never runs.
+
+        `deadline` is a reading of the monotonic clock. Only requests made for this `incarnation`
+        of the side process are accepted.
+        """
         conn = self._connections.get(key.connection)
         if conn is None:
             return Ok(SubmitOutcome.IGNORED)
         state = conn.state(key.id)
-        # A Submit that arrives after its Withdraw was answered `not_run`: the caller was told so
-        # already and may have sent the work elsewhere, so running it now would run it twice. The
-        # tombstone lives as long as the connection, and no later connection can carry this id.
+        # This Submit arrived after its Withdraw was answered `not_run`. The caller may have sent
+        # the request elsewhere, so running it now could run it twice. A Submit whose ended id was
+        # evicted is not run either, and no later connection can carry the same key.
         if state is _State.NOT_RUN:
             return Err(NotRunReason.WITHDRAWN)
         if state is not None:
             return Ok(SubmitOutcome.IGNORED)
-        if key.id <= conn.floor:
+        if key.id <= conn.max_evicted_id:
             return Ok(SubmitOutcome.FORGOTTEN)
         reason = self._refusal(incarnation, deadline, now)
         if reason is not None:
             conn.end(key.id, _State.NOT_RUN)
             return Err(reason)
-        conn.live[key.id] = _Entry(deadline, idempotent)
+        conn.live[key.id] = _TrackedRequest(deadline, idempotent)
         return Ok(SubmitOutcome.QUEUED)
 
     def start(self, key: RequestKey, now: timedelta) -> bool:
         """Mark a request as running; False means that it must not be sent to the upstream.
 
-        One whose deadline passed stays queued for `expire`, which tells it as not run.
+        A request whose deadline has passed stays queued until `expire` reports it as not run.
         """
-        entry = self._live_entry(key)
-        if entry is None or entry.state is not _State.QUEUED or entry.deadline <= now:
+        request = self._find_live(key)
+        if request is None or request.state is not _State.QUEUED or request.deadline <= now:
             return False
-        entry.state = _State.RUNNING
+        request.state = _State.RUNNING
         return True
 
     def finish(self, key: RequestKey) -> None:
-        """End a request that ran."""
+        """Mark a request as done after its run ended."""
         conn = self._connections.get(key.connection) or self._lost.get(key.connection)
         if conn is None or key.id not in conn.live:
             return
@@ -145,61 +157,75 @@
             del self._lost[key.connection]
 
     def refuse(self, key: RequestKey) -> bool:
-        """Give up a queued request for a reason of the runner; True when it is vouched for."""
+        """Drop a queued request on behalf of the runner.
+
+        Return True if it was queued, which guarantees that it never runs.
+        """
         return self._drop(key)
 
     def withdraw(self, key: RequestKey) -> WithdrawOutcome:
-        """Say what became of a request, and see to it that `not_run` stays true."""
+        """Withdraw a request and return its state; after `not_run` it can never start.
+
+        An id that is unknown and was not evicted is also ended as not run, in case its Submit
+        arrives later.
+        """
         conn = self._connections.get(key.connection)
         if conn is None:
             return WithdrawOutcome.STARTED
         state = conn.state(key.id)
         if state is _State.RUNNING:
             return WithdrawOutcome.STARTED
-        if state is _State.DONE or (state is None and key.id <= conn.floor):
+        if state is _State.DONE or (state is None and key.id <= conn.max_evicted_id):
             return WithdrawOutcome.DONE
         conn.end(key.id, _State.NOT_RUN)
         return WithdrawOutcome.NOT_RUN
 
     def cancel(self, key: RequestKey) -> CancelOutcome:
-        """Decide what to do with a request whose answer nobody awaits any more."""
-        entry = self._live_entry(key)
-        if entry is None:
+        """Cancel a request whose caller no longer waits for the answer."""
+        request = self._find_live(key)
+        if request is None:
             return CancelOutcome.NOTHING
         if self._drop(key):
             return CancelOutcome.DROPPED
-        # A non-idempotent call that is stopped half way leaves its upstream in a state that no
-        # caller can ask about; run to its end it can at least be recorded.
-        return CancelOutcome.STOP if entry.idempotent else CancelOutcome.NOTHING
+        # Stopping a non-idempotent request would leave the upstream in a state that no caller can
+        # query. Running to completion allows its outcome to be recorded.
+        return CancelOutcome.STOP if request.idempotent else CancelOutcome.NOTHING
 
     def expire(self, now: timedelta) -> tuple[RequestKey, ...]:
-        """Give up the queued requests whose deadline has passed; each was not run."""
-        return self._drop_queued(lambda entry: entry.deadline <= now)
+        """Drop the queued requests whose deadline has passed; return their keys."""
+        return self._drop_queued(lambda request: request.deadline <= now)
 
     def lose(self, connection: str) -> LostConnection:
-        """Drop the queued requests of a connection that ended, and name the runs to stop."""
+        """Remove a connection, drop its queued requests and return which runs to stop.
+
+        Runs that are not idempotent continue and are tracked until they finish.
+        """
         conn = self._connections.get(connection)
         if conn is None:
             return LostConnection((), ())
-        dropped = [RequestKey(connection, rid) for rid in conn.queued()]
+        dropped = [RequestKey(connection, request_id) for request_id in conn.queued()]
         for key in dropped:
             self._drop(key)
         del self._connections[connection]
         if conn.live:
             self._lost[connection] = conn
-        cancel = [RequestKey(connection, rid) for rid, e in conn.live.items() if e.idempotent]
+        cancel = [
+            RequestKey(connection, request_id)
+            for request_id, request in conn.live.items()
+            if request.idempotent
+        ]
         return LostConnection(tuple(dropped), tuple(cancel))
 
     def drain(self) -> tuple[RequestKey, ...]:
-        """Refuse new work from now on and give up what is queued; each was not run."""
+        """Refuse new requests from now on and drop all queued ones; return their keys."""
         self._draining = True
         return self._drop_queued(lambda _: True)
 
     def _refusal(
         self, incarnation: str, deadline: timedelta, now: timedelta
     ) -> NotRunReason | None:
-        # A Submit meant for the process before this one: its sender counts it as lost with that
-        # process and tells its caller `unknown`, so nobody would own a run of it here.
+        # A Submit made for an earlier incarnation of this process: the entry has already reported
+        # it to its caller as `unknown`, so the result of a run here would be lost.
         if incarnation != self._incarnation:
             return NotRunReason.WRONG_INCARNATION
         if self._draining:
@@ -208,7 +234,7 @@
             return NotRunReason.DEADLINE
         return None
 
-    def _live_entry(self, key: RequestKey) -> _Entry | None:
+    def _find_live(self, key: RequestKey) -> _TrackedRequest | None:
         conn = self._connections.get(key.connection)
         return conn.live.get(key.id) if conn else None
 
@@ -219,12 +245,12 @@
         conn.end(key.id, _State.NOT_RUN)
         return True
 
-    def _drop_queued(self, match: Callable[[_Entry], bool]) -> tuple[RequestKey, ...]:
+    def _drop_queued(self, match: Callable[[_TrackedRequest], bool]) -> tuple[RequestKey, ...]:
         dropped = [
-            RequestKey(name, rid)
-            for name, conn in self._connections.items()
-            for rid in conn.queued()
-            if match(conn.live[rid])
+            RequestKey(connection, request_id)
+            for connection, conn in self._connections.items()
+            for request_id in conn.queued()
+            if match(conn.live[request_id])
         ]
         for key in dropped:
             self._drop(key)
@@ -232,4 +258,4 @@
 
     def _count(self, state: _State) -> int:
         conns = [*self._connections.values(), *self._lost.values()]
-        return sum(entry.state is state for conn in conns for entry in conn.live.values())
+        return sum(request.state is state for conn in conns for request in conn.live.values())
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -1,4 +1,4 @@
-"""The fold of claims: which claim of a key wins, decided the same by everyone."""
+"""Tests of the claim records, and of the claim state that all processes derive from them."""
 
 from datetime import UTC, datetime, timedelta
 from typing import Any
@@ -22,7 +22,7 @@
 
 
 class Stream:
-    """A stream that records are appended to, one a second."""
+    """A fake stream; each record is one second newer than the one before by default."""
 
     def __init__(self) -> None:
         self.records: list[LogRecord] = []
@@ -35,14 +35,14 @@
         return offset
 
     def page(self, first: int = 1) -> LogPage:
-        """Return all that is kept."""
+        """Return a page of all records from offset `first` on."""
         kept = tuple(record for record in self.records if record.offset >= first)
         return LogPage(first, len(self.records) + 1, kept)
 
 
-def claim(key: str, claim_id: str, side: str = "s1", print_: str = "f") -> dict[str, Any]:
-    """Return a claim."""
-    return claim_record(key, claim_id, side, print_, BUDGET)
+def claim(key: str, claim_id: str, side: str = "s1", request_digest: str = "f") -> dict[str, Any]:
+    """Return the data of a claim record."""
+    return claim_record(key, claim_id, side, request_digest, BUDGET)
 
 
 @pytest.fixture
@@ -53,15 +53,15 @@
 
 @pytest.fixture
 def fold() -> ClaimFold:
-    """Return a fold that remembers for an hour."""
+    """Return an empty claim state with a window of one hour."""
     return ClaimFold(window=timedelta(hours=1))
 
 
-def test_first_claim_wins_and_the_loser_never_stands(stream: Stream, fold: ClaimFold) -> None:
-    """Two sides claim one key, then the winner abandons.
+def test_losing_claim_never_becomes_active(stream: Stream, fold: ClaimFold) -> None:
+    """Two side processes claim one key, then the winner abandons its claim.
 
-    The loser has told its caller that it lost and will not run; standing up in the winner's
-    place it would block the key, with nobody to run it.
+    The loser has already refused its caller's request. If its claim became active, it would block
+    the key although its request never runs.
     """
     stream.add(claim("k", "a", "s1"))
     stream.add(claim("k", "b", "s2"))
@@ -76,8 +76,8 @@
     assert fold.wins("k", "c")
 
 
-def test_only_the_owner_abandons(stream: Stream, fold: ClaimFold) -> None:
-    """An abandon with another life's name, or of another claim, changes nothing."""
+def test_abandon_or_outcome_of_another_owner_is_ignored(stream: Stream, fold: ClaimFold) -> None:
+    """An abandon or outcome of another incarnation, or an abandon of another claim, is ignored."""
     stream.add(claim("k", "a", "s1"))
     stream.add(abandon_record("k", "a", "s2"))
     stream.add(abandon_record("k", "b", "s1"))
@@ -87,8 +87,8 @@
     assert fold.standing("k").state is ClaimState.CLAIMED
 
 
-def test_settled_claim_is_not_abandoned(stream: Stream, fold: ClaimFold) -> None:
-    """What has run is not made free again."""
+def test_settled_claim_cannot_be_abandoned(stream: Stream, fold: ClaimFold) -> None:
+    """A request that has run can't be made to run again by an abandon of its claim."""
     stream.add(claim("k", "a"))
     settled = stream.add(outcome_record("k", "a", "s1", ClaimOutcome(200)))
     stream.add(abandon_record("k", "a", "s1"))
@@ -98,10 +98,10 @@
 
 
 @pytest.mark.parametrize("abandon_first", [True, False])
-def test_claim_that_arrives_again_does_not_stand(
+def test_late_or_duplicate_claim_after_its_abandon_is_ignored(
     stream: Stream, fold: ClaimFold, abandon_first: bool
 ) -> None:
-    """An append whose answer was lost arrives late, or twice, around its own abandon."""
+    """An append whose answer was lost is applied only after its abandon, or before and after it."""
     if not abandon_first:
         stream.add(claim("k", "a"))
     stream.add(abandon_record("k", "a", "s1"))
@@ -110,8 +110,8 @@
     assert fold.standing("k") is None
 
 
-def test_claims_end_with_the_window(stream: Stream, fold: ClaimFold) -> None:
-    """Time is the log's own, read from the records, so everyone forgets at the same offset."""
+def test_claim_expires_after_the_window(stream: Stream, fold: ClaimFold) -> None:
+    """Claims expire by the record times of the log, so all processes drop them at the same offset."""
     stream.add(claim("k", "a"))
     stream.add(claim("other", "b"), after=timedelta(minutes=59))
     fold.apply_page(stream.page())
@@ -121,23 +121,23 @@
     assert fold.wins("k", "c")
 
 
-def test_long_runner_forgets_what_a_starter_cannot_know(stream: Stream) -> None:
-    """The log forgets a claim that one process remembers and another never saw.
+def test_claims_below_the_log_start_are_dropped(stream: Stream) -> None:
+    """The log drops a claim that a running process has read and a new process can't read.
 
-    The starter lets a later claim win. The one that ran all along must come to the same, or after
-    an abandon of the forgotten claim it would let a third one run beside the second.
+    For the new process the next claim is active. The running process must agree: otherwise, after
+    an abandon of the dropped claim, it would let a third claim run in parallel with the second.
     """
     stream.add(claim("k", "a", "s1"))
-    old = ClaimFold()
-    old.apply_page(stream.page())
+    running = ClaimFold()
+    running.apply_page(stream.page())
     stream.add(claim("k", "b", "s2"))
     stream.add(abandon_record("k", "a", "s1"))
     stream.add(claim("k", "c", "s1"))
-    starter = ClaimFold()
-    starter.apply_page(stream.page(first=2))
-    old.apply_page(stream.page(first=2))
-    assert starter.wins("k", "b")
-    assert old.standing("k") == starter.standing("k")
+    started = ClaimFold()
+    started.apply_page(stream.page(first=2))
+    running.apply_page(stream.page(first=2))
+    assert started.wins("k", "b")
+    assert running.standing("k") == started.standing("k")
 
 
 @pytest.mark.parametrize(
@@ -152,10 +152,10 @@
         {**claim("k", "a"), "kind": "other"},
     ],
 )
-def test_records_of_others_are_counted_and_change_nothing(
+def test_invalid_records_are_counted_and_skipped(
     stream: Stream, fold: ClaimFold, data: dict[str, Any]
 ) -> None:
-    """A record that is not ours is passed over."""
+    """A record that is not a valid claim record is skipped and counted as a fault."""
     stream.add(data)
     fold.apply_page(stream.page())
     assert fold.faults == 1
@@ -183,23 +183,25 @@
 
 
 @given(st.lists(records, max_size=30), st.lists(st.integers(1, 30), max_size=4))
-def test_paging_and_repetition_change_nothing(datas: list[dict[str, Any]], cuts: list[int]) -> None:
-    """However the stream is read, page by page or twice, the fold comes out the same."""
+def test_state_does_not_depend_on_paging_or_repeated_pages(
+    datas: list[dict[str, Any]], cuts: list[int]
+) -> None:
+    """Reading the stream at once, in pages or with pages repeated gives the same state."""
     stream = Stream()
-    whole, parts = ClaimFold(), ClaimFold()
+    at_once, in_pages = ClaimFold(), ClaimFold()
     for count, data in enumerate(datas, 1):
         stream.add(data)
         if count in cuts:
-            parts.apply_page(stream.page())
-            parts.apply_page(stream.page())
-    whole.apply_page(stream.page())
-    parts.apply_page(stream.page())
-    assert whole == parts
+            in_pages.apply_page(stream.page())
+            in_pages.apply_page(stream.page())
+    at_once.apply_page(stream.page())
+    in_pages.apply_page(stream.page())
+    assert at_once == in_pages
 
 
 @given(st.lists(records, max_size=30))
-def test_a_key_changes_hands_only_through_its_owner(datas: list[dict[str, Any]]) -> None:
-    """While a claim stands, nothing but its owner's abandon makes room for another."""
+def test_only_the_owner_can_release_a_key(datas: list[dict[str, Any]]) -> None:
+    """Within the window an active claim is removed only by an abandon of its owner."""
     stream, fold = Stream(), ClaimFold()
     for data in datas:
         before = {key: fold.standing(key) for key in "kl"}
@@ -215,7 +217,7 @@
 
 
 def test_outcome_round_trip_and_large_bodies() -> None:
-    """A body up to the limit comes back; of a larger one there is the digest only."""
+    """A body up to the limit is recorded; for a larger one only the digest is."""
     small = ClaimOutcome(201, (("A", "b"),), b"x" * MAX_RECORDED_BODY, "d")
     large = ClaimOutcome(201, (), b"x" * (MAX_RECORDED_BODY + 1), "d")
     assert outcome_from_record(outcome_record("k", "a", "s", small)).unwrap() == small
@@ -224,17 +226,17 @@
 
 
 def test_keys_of_two_callers_differ() -> None:
-    """No choice of names makes two callers' keys one."""
+    """No choice of caller and key gives two callers the same scoped key."""
     assert scoped_key("a", "b:c") != scoped_key("a:b", "c")
     assert scoped_key("a", "1") != scoped_key("b", "1")
 
 
-def test_fingerprint_tells_requests_apart() -> None:
-    """Parts can't flow into each other."""
-    prints = {
+def test_different_requests_have_different_fingerprints() -> None:
+    """Moving text from the body to the path changes the fingerprint; the method's case does not."""
+    fingerprints = {
         fingerprint("POST", "/a", b"b"),
         fingerprint("POST", "/ab", b""),
         fingerprint("PUT", "/a", b"b"),
     }
-    assert len(prints) == 3
-    assert fingerprint("post", "/a", b"b") in prints
+    assert len(fingerprints) == 3
+    assert fingerprint("post", "/a", b"b") in fingerprints
--- a/tests/requests/test_protocol.py
+++ b/tests/requests/test_protocol.py
@@ -1,8 +1,7 @@
-"""Entries and a side process over a network that loses, repeats, delays and reorders.
+"""Stateful test of two entries and a side process over a network that loses and reorders frames.
 
-Two entries send requests with the same ids, give up, reconnect and send again; the side process
-starts, answers, drains and restarts, and its upstream keeps a journal of what truly ran. What an
-entry says about each request is held against that journal after every step.
+Frames are also delayed and duplicated, and both entries use the same request ids. After each step
+the outcomes at the entries are compared with a journal of what ran at the upstream.
 """
 
 from collections import Counter
@@ -40,17 +39,18 @@
 ENTRIES = 2
 BUDGET = timedelta(seconds=10)
 CHUNKS = 2
-# Mostly in order and once: disturbed at every step, no request would get anywhere.
-anywhere = st.one_of(st.just(0), st.just(-1), st.integers(0, 1_000))
+# Mostly the first or last item, and rare duplicates: with a failure in every step, no request would
+# make progress.
+positions = st.one_of(st.just(0), st.just(-1), st.integers(0, 1_000))
 rarely = st.sampled_from([False, False, False, True])
-disturbances = st.sampled_from(["lose", "lose", "reconnect", "reconnect", "drain", "wait"])
+failures = st.sampled_from(["lose", "lose", "reconnect", "reconnect", "drain", "wait"])
 
 
 @attrs.define(eq=False)
-class Sent:
-    """One attempt as its entry sees it."""
+class SentAttempt:
+    """An attempt as seen by its entry."""
 
-    name: int
+    number: int
     request: int
     entry: int
     id: int
@@ -62,10 +62,10 @@
 
 @attrs.define(eq=False)
 class Request:
-    """What a caller asked for, and all attempts at it."""
+    """A caller's request and all its attempts."""
 
     idempotent: bool
-    sent: list[Sent] = attrs.field(factory=list)
+    attempts: list[SentAttempt] = attrs.field(factory=list)
 
 
 @attrs.define(eq=False)
@@ -73,8 +73,8 @@
     """A request that the side process started."""
 
     key: RequestKey
-    name: int
-    emitted: int = 0
+    attempt_number: int
+    sent_frames: int = 0
 
 
 class Protocol(RuleBasedStateMachine):
@@ -83,14 +83,14 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = timedelta(seconds=1)
-        self.life = 0
-        self.book = SideBook("life-0")
+        self.incarnation = 0
+        self.book = SideBook("incarnation-0")
         self.conns = [""] * ENTRIES
-        self.known_life = ["life-0"] * ENTRIES
-        self.generation = 0
+        self.known_incarnations = ["incarnation-0"] * ENTRIES
+        self.connection_count = 0
         self.next_id = [0] * ENTRIES
         self.requests: list[Request] = []
-        self.sent: list[Sent] = []
+        self.attempts: list[SentAttempt] = []
         self.to_side: list[tuple[str, Message]] = []
         self.to_entry: list[tuple[int, Message]] = []
         self.queued: list[tuple[RequestKey, int]] = []
@@ -99,26 +99,26 @@
         for entry in range(ENTRIES):
             self._connect(entry)
 
-    @initialize(begun=st.lists(st.tuples(st.booleans(), st.integers(0, 5)), max_size=3))
-    def begin(self, begun: list[tuple[bool, int]]) -> None:
-        """Bring a few requests some way along, so that failures meet them at every stage."""
-        for number, (idempotent, stage) in enumerate(begun):
-            self.ask(number % ENTRIES, idempotent)
-            repeated = list(self.to_side[-1:]) if stage % 2 else []
+    @initialize(initial=st.lists(st.tuples(st.booleans(), st.integers(0, 5)), max_size=3))
+    def start_requests(self, initial: list[tuple[bool, int]]) -> None:
+        """Advance a few requests to different stages, so that failures occur at every stage."""
+        for number, (idempotent, stage) in enumerate(initial):
+            self.send_request(number % ENTRIES, idempotent)
+            duplicates = list(self.to_side[-1:]) if stage % 2 else []
             if stage > 0:
-                self.serve()
-            self.to_side += repeated
+                self.deliver_all_to_side()
+            self.to_side += duplicates
             if stage > 1 and self.runs:
-                self.go_on(-1, CHUNKS, fail=False)
+                self.send_answer_frames(-1, CHUNKS, fail=False)
             if stage > 3:
-                self.listen()
+                self.deliver_all_to_entries()
             if stage > 4:
                 self.forward(-1)
 
     def _connect(self, entry: int) -> None:
-        self.generation += 1
-        self.conns[entry] = f"{entry}-{self.generation}"
-        self.known_life[entry] = f"life-{self.life}"
+        self.connection_count += 1
+        self.conns[entry] = f"{entry}-{self.connection_count}"
+        self.known_incarnations[entry] = f"incarnation-{self.incarnation}"
         self.book.open(self.conns[entry])
 
     def _dispatch(self, number: int, entry: int) -> None:
@@ -127,17 +127,17 @@
         attempt = EntryAttempt(request.idempotent)
         number %= len(self.requests)
         conn = self.conns[entry]
-        sent = Sent(len(self.sent), number, entry, self.next_id[entry], conn, attempt)
-        request.sent.append(sent)
-        self.sent.append(sent)
+        sent = SentAttempt(len(self.attempts), number, entry, self.next_id[entry], conn, attempt)
+        request.attempts.append(sent)
+        self.attempts.append(sent)
         submit = Submit(
             id=sent.id,
-            incarnation=self.known_life[entry],
+            incarnation=self.known_incarnations[entry],
             service="s",
             method="POST",
             path="/",
             headers=(),
-            body=str(sent.name).encode(),
+            body=str(sent.number).encode(),
             budget_ms=int(BUDGET / timedelta(milliseconds=1)),
             priority=0,
             idempotent=request.idempotent,
@@ -150,32 +150,32 @@
         self.to_entry.append((int(conn.split("-", maxsplit=1)[0]), msg))
 
     @rule(entry=st.integers(0, ENTRIES - 1), idempotent=st.booleans())
-    def ask(self, entry: int, idempotent: bool) -> None:
-        """Take in a caller's request."""
+    def send_request(self, entry: int, idempotent: bool) -> None:
+        """Send a new request of a caller through an entry."""
         self.requests.append(Request(idempotent))
         self._dispatch(len(self.requests) - 1, entry)
 
     @precondition(lambda self: self.requests)
-    @rule(at=anywhere, entry=st.integers(0, ENTRIES - 1))
-    def send_again(self, at: int, entry: int) -> None:
-        """Dispatch a request once more, where the last attempt allows it."""
-        number = at % len(self.requests)
-        if self.requests[number].sent[-1].attempt.may_send_again:
+    @rule(position=positions, entry=st.integers(0, ENTRIES - 1))
+    def retry(self, position: int, entry: int) -> None:
+        """Dispatch a request again if its last attempt allows a retry."""
+        number = position % len(self.requests)
+        if self.requests[number].attempts[-1].attempt.may_send_again:
             self._dispatch(number, entry)
 
     @precondition(lambda self: self.to_side)
-    @rule(at=anywhere, again=rarely)
-    def deliver_to_side(self, at: int, again: bool) -> None:
-        """Bring a frame to the side process, in any order, perhaps once more later."""
-        index = at % len(self.to_side)
-        conn, msg = self.to_side[index] if again else self.to_side.pop(index)
+    @rule(position=positions, duplicate=rarely)
+    def deliver_to_side(self, position: int, duplicate: bool) -> None:
+        """Deliver a frame to the side process, in any order and possibly again later."""
+        index = position % len(self.to_side)
+        conn, msg = self.to_side[index] if duplicate else self.to_side.pop(index)
         if isinstance(msg, Withdraw):
             outcome = self.book.withdraw(RequestKey(conn, msg.id))
             self._reply(conn, Withdrawn(msg.id, outcome.value))
         elif isinstance(msg, Submit):
-            self._take_submit(conn, msg)
+            self._submit(conn, msg)
 
-    def _take_submit(self, conn: str, msg: Submit) -> None:
+    def _submit(self, conn: str, msg: Submit) -> None:
         key = RequestKey(conn, msg.id)
         deadline = self.now + BUDGET
         result = self.book.submit(key, msg.incarnation, deadline, msg.idempotent, self.now)
@@ -185,12 +185,12 @@
             self.queued.append((key, int(msg.body)))
 
     @precondition(lambda self: self.to_entry)
-    @rule(at=anywhere, again=rarely)
-    def deliver_to_entry(self, at: int, again: bool) -> None:
-        """Bring a frame to an entry, in any order, perhaps once more later."""
-        index = at % len(self.to_entry)
-        entry, msg = self.to_entry[index] if again else self.to_entry.pop(index)
-        sent = next(s for s in self.sent if (s.entry, s.id) == (entry, msg.id))
+    @rule(position=positions, duplicate=rarely)
+    def deliver_to_entry(self, position: int, duplicate: bool) -> None:
+        """Deliver a frame to an entry, in any order and possibly again later."""
+        index = position % len(self.to_entry)
+        entry, msg = self.to_entry[index] if duplicate else self.to_entry.pop(index)
+        sent = next(s for s in self.attempts if (s.entry, s.id) == (entry, msg.id))
         match msg:
             case Head(status=status):
                 sent.attempt.on_head(status)
@@ -207,28 +207,28 @@
                 sent.attempt.on_withdrawn(WithdrawOutcome(outcome))
 
     @rule(
-        kind=disturbances,
-        at=st.integers(0, 1_000),
+        kind=failures,
+        position=st.integers(0, 1_000),
         noticed=st.booleans(),
         reroute=st.booleans(),
     )
-    def disturb(self, kind: str, at: int, noticed: bool, reroute: bool) -> None:
-        """Bring about one failure."""
+    def inject_failure(self, kind: str, position: int, noticed: bool, reroute: bool) -> None:
+        """Cause one failure, or let time pass."""
         match kind:
             case "lose":
-                self._lose_a_frame(at)
+                self._lose_a_frame(position)
             case "reconnect":
-                self._reconnect(at % ENTRIES, noticed, reroute)
+                self._reconnect(position % ENTRIES, noticed, reroute)
             case "drain":
                 self._drain()
             case "wait":
-                self._wait(1 + at % 8)
+                self._wait(1 + position % 8)
 
-    def _lose_a_frame(self, at: int) -> None:
+    def _lose_a_frame(self, position: int) -> None:
         """Drop a frame in either direction."""
         if not self.to_side and not self.to_entry:
             return
-        index = at % (len(self.to_side) + len(self.to_entry))
+        index = position % (len(self.to_side) + len(self.to_entry))
         if index < len(self.to_side):
             del self.to_side[index]
         else:
@@ -236,99 +236,103 @@
 
     @precondition(lambda self: self.to_side or self.queued)
     @rule(swap=st.integers(-1, 2))
-    def serve(self, swap: int = -1) -> None:
-        """Bring all frames to the side process, as `listen` does, and start all that waits."""
+    def deliver_all_to_side(self, swap: int = -1) -> None:
+        """Deliver all frames to the side process and start all queued requests.
+
+        Frames keep their order, except that two neighbours may be swapped.
+        """
         if 0 <= swap < len(self.to_side) - 1:
             self.to_side.insert(swap, self.to_side.pop(swap + 1))
         while self.to_side:
-            self.deliver_to_side(0, again=False)
+            self.deliver_to_side(0, duplicate=False)
         while self.queued:
             self.start(0)
 
     @precondition(lambda self: self.to_entry)
     @rule(swap=st.integers(-1, 3))
-    def listen(self, swap: int = -1) -> None:
-        """Bring all frames to the entries, in order but for two that change places."""
+    def deliver_all_to_entries(self, swap: int = -1) -> None:
+        """Deliver all frames to the entries in order, except that two neighbours may be swapped."""
         if 0 <= swap < len(self.to_entry) - 1:
             self.to_entry.insert(swap, self.to_entry.pop(swap + 1))
         while self.to_entry:
-            self.deliver_to_entry(0, again=False)
+            self.deliver_to_entry(0, duplicate=False)
 
     @precondition(lambda self: self.queued)
-    @rule(at=anywhere)
-    def start(self, at: int) -> None:
-        """Start what waits; the journal notes what reaches the upstream."""
-        key, name = self.queued.pop(at % len(self.queued))
+    @rule(position=positions)
+    def start(self, position: int) -> None:
+        """Start a queued request; the journal counts the runs of each attempt at the upstream."""
+        key, number = self.queued.pop(position % len(self.queued))
         if self.book.start(key, self.now):
-            self.journal[name] += 1
-            self.runs.append(Run(key, name))
+            self.journal[number] += 1
+            self.runs.append(Run(key, number))
 
     @precondition(lambda self: self.runs)
-    @rule(at=anywhere, frames=st.integers(1, CHUNKS + 2), fail=rarely)
-    def go_on(self, at: int, frames: int, fail: bool) -> None:
-        """Send the next frames of an answer, or fail it."""
-        run = self.runs[at % len(self.runs)]
+    @rule(position=positions, frames=st.integers(1, CHUNKS + 2), fail=rarely)
+    def send_answer_frames(self, position: int, frames: int, fail: bool) -> None:
+        """Send the next frames of an answer, or a Failed frame."""
+        run = self.runs[position % len(self.runs)]
         for _ in range(frames):
             if run in self.runs:
-                self._emit(run, fail)
+                self._send_next_frame(run, fail)
 
-    def _emit(self, run: Run, fail: bool) -> None:
-        conn, rid = run.key.connection, run.key.id
+    def _send_next_frame(self, run: Run, fail: bool) -> None:
+        conn, request_id = run.key.connection, run.key.id
         if fail:
-            self._reply(conn, Failed(rid, "upstream_cut", "yes"))
-        elif run.emitted == 0:
-            self._reply(conn, Head(rid, 200, ()))
-        elif run.emitted <= CHUNKS:
-            data = f"{run.name}/{run.emitted}".encode()
-            self._reply(conn, Chunk(rid, run.emitted - 1, data))
+            self._reply(conn, Failed(request_id, "upstream_cut", "yes"))
+        elif run.sent_frames == 0:
+            self._reply(conn, Head(request_id, 200, ()))
+        elif run.sent_frames <= CHUNKS:
+            data = f"{run.attempt_number}/{run.sent_frames}".encode()
+            self._reply(conn, Chunk(request_id, run.sent_frames - 1, data))
         else:
-            self._reply(conn, End(rid, CHUNKS))
-        run.emitted += 1
-        if fail or run.emitted == CHUNKS + 2:
+            self._reply(conn, End(request_id, CHUNKS))
+        run.sent_frames += 1
+        if fail or run.sent_frames == CHUNKS + 2:
             self.runs.remove(run)
             self.book.finish(run.key)
 
-    @precondition(lambda self: self.sent)
-    @rule(at=anywhere)
-    def give_up(self, at: int) -> None:
-        """Withdraw a request whose time is over."""
-        sent = self.sent[at % len(self.sent)]
+    @precondition(lambda self: self.attempts)
+    @rule(position=positions)
+    def withdraw(self, position: int) -> None:
+        """Withdraw a request, as after its deadline."""
+        sent = self.attempts[position % len(self.attempts)]
         if sent.attempt.withdraw():
             self.to_side.append((sent.conn, Withdraw(sent.id)))
 
-    @precondition(lambda self: self.sent)
-    @rule(at=anywhere)
-    def give_up_waiting(self, at: int) -> None:
-        """Stop waiting for the answer to a withdrawal."""
-        sent = self.sent[at % len(self.sent)]
+    @precondition(lambda self: self.attempts)
+    @rule(position=positions)
+    def time_out_withdraw(self, position: int) -> None:
+        """Let the wait for the answer to a Withdraw time out."""
+        sent = self.attempts[position % len(self.attempts)]
         if sent.attempt.withdrawing:
             sent.attempt.on_withdraw_timeout()
 
-    @precondition(lambda self: self.sent)
-    @rule(at=anywhere)
-    def forward(self, at: int) -> None:
-        """Pass what came of an answer on to the caller."""
-        sent = self.sent[at % len(self.sent)]
-        # An entry takes up an attempt only when it has let go of the one before it.
-        if sent.body and self.requests[sent.request].sent[-1] is sent:
+    @precondition(lambda self: self.attempts)
+    @rule(position=positions)
+    def forward(self, position: int) -> None:
+        """Forward the received part of an answer to the caller."""
+        sent = self.attempts[position % len(self.attempts)]
+        # An entry forwards only the answer of the latest attempt of a request.
+        if sent.body and self.requests[sent.request].attempts[-1] is sent:
             sent.forwarded = True
             sent.attempt.mark_forwarded()
 
     def _reconnect(self, entry: int, noticed: bool, reroute: bool) -> None:
-        """End a connection; what was sent on it vanishes or turns up on the next one.
+        """End a connection and open a new one; `noticed` tells whether the side process sees it.
 
-        Within one life of the side process it never turns up: each connection has a socket of
-        its own, which the entry never dials again. Only a message that was made for the life
-        before can meet the next one.
+        Frames sent on the old connection are lost, or with `reroute` delivered on the new one.
+        They can't be delivered to the same incarnation of the side process, because each
+        connection has its own socket, which the entry never dials again. Only a frame made for an
+        earlier incarnation can be delivered on the new connection.
         """
-        reroute = reroute and self.known_life[entry] != f"life-{self.life}"
+        reroute = reroute and self.known_incarnations[entry] != f"incarnation-{self.incarnation}"
         old = self.conns[entry]
-        for sent in self.sent:
+        for sent in self.attempts:
             if sent.conn == old:
                 sent.attempt.on_connection_lost()
         if noticed:
             lost = self.book.lose(old)
-            self.queued = [(key, name) for key, name in self.queued if key not in lost.dropped]
+            self.queued = [(key, number) for key, number in self.queued if key not in lost.dropped]
         self._connect(entry)
         self.to_side = [
             (self.conns[entry] if conn == old and reroute else conn, msg)
@@ -337,55 +341,55 @@
 
     @rule(noticed=st.booleans(), reroute=st.booleans())
     def restart_side(self, noticed: bool, reroute: bool) -> None:
-        """Kill the side process in the middle of everything; entries notice at once or later."""
-        self.life += 1
-        self.book = SideBook(f"life-{self.life}")
+        """Kill and restart the side process; the entries notice immediately or later."""
+        self.incarnation += 1
+        self.book = SideBook(f"incarnation-{self.incarnation}")
         self.queued.clear()
         self.runs.clear()
         for entry in range(ENTRIES if noticed else 0):
             self._reconnect(entry, noticed=False, reroute=reroute)
 
     def _drain(self) -> None:
-        """Begin a planned stop."""
+        """Start a planned shutdown of the side process."""
         for key in self.book.drain():
-            self.queued = [(other, name) for other, name in self.queued if other != key]
+            self.queued = [(other, number) for other, number in self.queued if other != key]
             self._reply(key.connection, NotRun(key.id, "draining", 0))
 
     def _wait(self, seconds: int) -> None:
-        """Let time pass and deadlines with it."""
+        """Advance the clock and expire queued requests."""
         self.now += timedelta(seconds=seconds)
         for key in self.book.expire(self.now):
-            self.queued = [(other, name) for other, name in self.queued if other != key]
+            self.queued = [(other, number) for other, number in self.queued if other != key]
             self._reply(key.connection, NotRun(key.id, "deadline", 0))
 
     @invariant()
-    def not_run_is_true(self) -> None:
-        """Find nothing in the journal that was told as not run, now or later."""
-        for sent in self.sent:
+    def not_run_attempts_never_run(self) -> None:
+        """Check that the journal has no run of an attempt that was reported as not run."""
+        for sent in self.attempts:
             if isinstance(sent.attempt.outcome, AttemptNotRun):
-                assert self.journal[sent.name] == 0
+                assert self.journal[sent.number] == 0
 
     @invariant()
     def runs_at_most_once(self) -> None:
-        """One attempt never runs twice, nor does a request that may not be repeated."""
+        """Check that no attempt and no request that is not idempotent runs twice."""
         assert all(count <= 1 for count in self.journal.values())
         for request in self.requests:
             if not request.idempotent:
-                assert sum(self.journal[sent.name] for sent in request.sent) <= 1
+                assert sum(self.journal[sent.number] for sent in request.attempts) <= 1
 
     @invariant()
-    def answers_are_own_and_whole(self) -> None:
-        """Hold each done answer against the one that the upstream gave to this very attempt."""
-        for sent in self.sent:
+    def done_answers_are_complete(self) -> None:
+        """Check that each done attempt has exactly the answer that the upstream sent for it."""
+        for sent in self.attempts:
             if isinstance(sent.attempt.outcome, AttemptDone):
-                whole = [f"{sent.name}/{part}".encode() for part in range(1, CHUNKS + 1)]
-                assert sent.body == whole
+                expected = [f"{sent.number}/{part}".encode() for part in range(1, CHUNKS + 1)]
+                assert sent.body == expected
 
     @invariant()
-    def nothing_follows_a_broken_answer(self) -> None:
-        """See to it that a caller with a part of an answer gets no beginning of another."""
+    def no_retry_after_forwarded_bytes(self) -> None:
+        """Check that a retried request has no earlier attempt that was forwarded or done."""
         for request in self.requests:
-            for sent in request.sent[:-1]:
+            for sent in request.attempts[:-1]:
                 assert not sent.forwarded
                 assert not isinstance(sent.attempt.outcome, AttemptBroken | AttemptDone)
 
--- a/tests/requests/test_traces.py
+++ b/tests/requests/test_traces.py
@@ -1,4 +1,4 @@
-"""Replay of recorded traces of requests: each line's outcome stands beside it as `gives`."""
+"""Replay of recorded request traces; the field `gives` of a line is its expected result."""
 
 from datetime import timedelta
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 class Replay:
-    """One side process, and the attempts of one entry."""
+    """A side process and the attempts of an entry; the field `do` of a line names a method."""
 
     def __init__(self) -> None:
         self.attempts: dict[str, EntryAttempt] = {}
@@ -23,7 +23,7 @@
         self.open({"conn": "c"})
 
     def restart(self, line: dict[str, Any]) -> None:
-        """Begin a new life of the side process."""
+        """Restart the side process as a new incarnation, named `life` in the traces."""
         self.book = SideBook(line["life"])
 
     def open(self, line: dict[str, Any]) -> None:
@@ -31,7 +31,7 @@
         self.book.open(line["conn"])
 
     def submit(self, line: dict[str, Any]) -> str:
-        """Bring a Submit to the side process."""
+        """Deliver a Submit to the side process."""
         key = RequestKey(line["conn"], line["id"])
         result = self.book.submit(key, line["life"], LATER, line["idempotent"], NOW)
         return (result.unwrap_err() if isinstance(result, Err) else result.unwrap()).value
@@ -41,7 +41,7 @@
         return self.book.start(RequestKey(line["conn"], line["id"]), NOW)
 
     def side_withdraw(self, line: dict[str, Any]) -> str:
-        """Bring a Withdraw to the side process."""
+        """Deliver a Withdraw to the side process."""
         return self.book.withdraw(RequestKey(line["conn"], line["id"])).value
 
     def send(self, line: dict[str, Any]) -> None:
@@ -49,53 +49,53 @@
         self.attempts[line["attempt"]] = EntryAttempt(line["idempotent"])
 
     def head(self, line: dict[str, Any]) -> bool:
-        """Bring a Head to the entry."""
+        """Deliver a Head to the entry."""
         return self.attempts[line["attempt"]].on_head(200)
 
     def chunk(self, line: dict[str, Any]) -> bool:
-        """Bring a Chunk to the entry."""
+        """Deliver a Chunk to the entry."""
         return self.attempts[line["attempt"]].on_chunk(line["seq"])
 
     def end(self, line: dict[str, Any]) -> bool:
-        """Bring an End to the entry."""
+        """Deliver an End to the entry."""
         return self.attempts[line["attempt"]].on_end(line["chunks"])
 
     def forward(self, line: dict[str, Any]) -> None:
-        """Pass a part of the answer on."""
+        """Forward part of the answer to the caller."""
         self.attempts[line["attempt"]].mark_forwarded()
 
     def lost(self, line: dict[str, Any]) -> None:
-        """End the connection."""
+        """Report the loss of the connection to the entry."""
         self.attempts[line["attempt"]].on_connection_lost()
 
     def entry_withdraw(self, line: dict[str, Any]) -> bool:
-        """Let the entry give up."""
+        """Let the entry withdraw the request."""
         return self.attempts[line["attempt"]].withdraw()
 
     def withdrawn(self, line: dict[str, Any]) -> bool:
-        """Bring the answer to a Withdraw to the entry."""
+        """Deliver the answer to a Withdraw to the entry."""
         return self.attempts[line["attempt"]].on_withdrawn(WithdrawOutcome(line["outcome"]))
 
     def timeout(self, line: dict[str, Any]) -> None:
-        """Let the wait for the answer to a Withdraw end."""
+        """Let the wait for the answer to a Withdraw time out."""
         self.attempts[line["attempt"]].on_withdraw_timeout()
 
     def outcome(self, line: dict[str, Any]) -> list[str]:
-        """Tell what the attempt came to."""
+        """Return the class name and the reason of the attempt's outcome."""
         outcome = self.attempts[line["attempt"]].outcome
         return [type(outcome).__name__, getattr(outcome, "reason", "")]
 
     def may_send_again(self, line: dict[str, Any]) -> bool:
-        """Tell whether the request may be dispatched once more."""
+        """Return whether the request may be dispatched again."""
         return self.attempts[line["attempt"]].may_send_again
 
 
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
-def test_trace_comes_out_as_stated(path: Path) -> None:
-    """Replay one trace, line by line."""
+def test_trace_gives_the_expected_results(path: Path) -> None:
+    """Replay a trace and compare the result of each line."""
     replay(path, Replay())
 
 
-def test_there_are_traces() -> None:
-    """Fail when the traces are not found, which would pass for a replay."""
+def test_trace_files_are_found() -> None:
+    """Without trace files the replay test would have no cases and report no failure."""
     assert len(TRACES) >= 6
