--- a/cranberryline/dispatch/direct.py
+++ b/cranberryline/dispatch/direct.py
@@ -13,7 +13,7 @@
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.ports.clients import HttpPlainService
 from cranberryline.ports.model import LogPort, PlainServicePort, VmEntry
-from cranberryline.requests import RequestKey, SideBook, WithdrawOutcome
+from cranberryline.requests import RequestKey, RequestRegistry, WithdrawOutcome
 from cranberryline.transport import Exchange, UpstreamLink
 from cranberryline.transport.model import (
     Cancel,
@@ -181,7 +181,7 @@
         """Return a new direct link to an upstream."""
         port = self._connect(vm)
         execution = Execution(self._clock, self._metrics, port, self._claims_for(vm.service))
-        book = SideBook(self._incarnation)
+        book = RequestRegistry(self._incarnation)
         limit = self._service_concurrency(vm.service)
         runner = Runner(self._clock, execution, self._metrics, book, limit)
         link = DirectUpstream(
--- a/cranberryline/execution/claims.py
+++ b/cranberryline/execution/claims.py
@@ -22,7 +22,11 @@
     outcome_from_record,
     outcome_record,
 )
-from cranberryline.requests.const import CLAIM_MARGIN, MAX_RECORDED_BODY, STREAM_CLAIMS
+from cranberryline.requests.const import (
+    CLAIM_STREAM_PREFIX,
+    IN_PROGRESS_MARGIN,
+    MAX_RECORDED_BODY_BYTES,
+)
 from cranberryline.requests.errors import ClaimReason, ClaimRefused
 from cranberryline.requests.model import Claim, ClaimOutcome, ClaimState
 
@@ -80,9 +84,11 @@
 def recorded_outcome(
     status: int, headers: tuple[tuple[str, str], ...], body: bytes
 ) -> ClaimOutcome:
-    """Return the outcome to record; a body above `MAX_RECORDED_BODY` bytes is left out."""
+    """Return the outcome to record; a body above `MAX_RECORDED_BODY_BYTES` bytes is left out."""
     digest = hashlib.sha256(body).hexdigest()
-    return ClaimOutcome(status, headers, body if len(body) <= MAX_RECORDED_BODY else None, digest)
+    return ClaimOutcome(
+        status, headers, body if len(body) <= MAX_RECORDED_BODY_BYTES else None, digest
+    )
 
 
 class ClaimService:
@@ -101,7 +107,7 @@
         new_id: Callable[[], str] = lambda: uuid.uuid4().hex,
     ) -> None:
         self._log = log
-        self._stream = STREAM_CLAIMS + service
+        self._stream = CLAIM_STREAM_PREFIX + service
         self._incarnation = incarnation
         self._clock = clock
         self._fold = fold or ClaimFold()
@@ -277,13 +283,13 @@
 
         Return False if a read failed or if the log ends before the offset.
         """
-        while offset is None or self._fold.next <= offset:
-            before = self._fold.next
+        while offset is None or self._fold.next_offset <= offset:
+            before = self._fold.next_offset
             page = await self._log.async_read(self._stream, before, READ_PAGE_RECORDS)
             if isinstance(page, Err):
                 return False
             self._fold.apply_page(page.unwrap())
-            if self._fold.next == before:
+            if self._fold.next_offset == before:
                 return offset is None
         return True
 
@@ -291,7 +297,7 @@
         for pending in batch:
             if pending.fut.done():
                 self._abandon_unrun(pending)
-            elif self._fold.wins(pending.key, pending.claim_id):
+            elif self._fold.is_active(pending.key, pending.claim_id):
                 self._grant(pending)
             else:
                 await self._async_refuse_losing_claim(pending)
@@ -306,7 +312,7 @@
         pending.fut.set_result(Ok(granted))
 
     async def _async_refuse_losing_claim(self, pending: _PendingClaim) -> None:
-        claim = self._fold.standing(pending.key)
+        claim = self._fold.active_claim(pending.key)
         if claim is None:
             # The claim itself expired or was deleted from the log while it waited here.
             self._refuse(pending, ClaimReason.LOG_UNAVAILABLE, RETRY_AFTER_OUTAGE)
@@ -341,8 +347,8 @@
     def _may_be_running(self, claim: Claim) -> bool:
         if claim.side_incarnation == self._incarnation:
             return claim.claim_id in self._active
-        now = self._fold.time
-        return now is not None and now <= claim.time + claim.budget + CLAIM_MARGIN
+        now = self._fold.latest_time
+        return now is not None and now <= claim.time + claim.budget + IN_PROGRESS_MARGIN
 
     def _refuse(
         self, pending: _PendingClaim, reason: ClaimReason, retry_after: timedelta | None = None
--- a/cranberryline/execution/errors.py
+++ b/cranberryline/execution/errors.py
@@ -6,7 +6,7 @@
 
 
 class RunnerReason(enum.StrEnum):
-    """Reasons why a request was not run, in addition to those of `SideBook`.
+    """Reasons why a request was not run, in addition to those of `RequestRegistry`.
 
     The values are sent to the entry and are labels of metrics.
     """
--- a/cranberryline/execution/runner.py
+++ b/cranberryline/execution/runner.py
@@ -11,7 +11,7 @@
 from cranberryline.configs.const import DEFAULT_CONCURRENCY
 from cranberryline.helpers.clock import Clock
 from cranberryline.helpers.metrics import Metrics
-from cranberryline.requests import CancelOutcome, RequestKey, SideBook, SubmitOutcome
+from cranberryline.requests import CancelOutcome, RequestKey, RequestRegistry, SubmitOutcome
 from cranberryline.transport.model import Failed, Submit
 
 from .errors import FailReason, RunnerReason
@@ -33,7 +33,7 @@
         clock: Clock,
         execution: Execution,
         metrics: Metrics,
-        book: SideBook,
+        book: RequestRegistry,
         concurrency: int = DEFAULT_CONCURRENCY,
     ) -> None:
         self.concurrency = concurrency
@@ -122,7 +122,7 @@
         Drop its queued requests and stop its idempotent ones. The others run to their end, and
         their responses are discarded.
         """
-        lost = self.book.lose(connection)
+        lost = self.book.remove_connection(connection)
         for key in lost.dropped:
             self._remove(key)
         for key, request in self._requests.items():
--- a/cranberryline/execution/stream.py
+++ b/cranberryline/execution/stream.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from cranberryline.ports.model import UpstreamBody
-from cranberryline.requests.const import MAX_RECORDED_BODY
+from cranberryline.requests.const import MAX_RECORDED_BODY_BYTES
 from cranberryline.transport.model import Chunk, End, Head, Message
 
 __all__ = ["INITIAL_WINDOW_BYTES", "ResponseStream"]
@@ -29,7 +29,7 @@
         self.recorded_body = b""
 
     def record_body(self) -> None:
-        """Store the body while it is forwarded, until it exceeds `MAX_RECORDED_BODY` bytes."""
+        """Store the body while it is forwarded, until it exceeds `MAX_RECORDED_BODY_BYTES` bytes."""
         self._recording = True
 
     def extend_window(self, size: int) -> None:
@@ -48,7 +48,7 @@
         self._send(Head(self._id, body.head.status, body.head.headers))
         async for data in body.chunks():
             await self._window_open.wait()
-            if self._recording and len(self.recorded_body) <= MAX_RECORDED_BODY:
+            if self._recording and len(self.recorded_body) <= MAX_RECORDED_BODY_BYTES:
                 self.recorded_body += data
             self._send(Chunk(self._id, self._next_chunk, data))
             self._next_chunk += 1
--- a/cranberryline/requests/__init__.py
+++ b/cranberryline/requests/__init__.py
@@ -18,7 +18,7 @@
     SubmitOutcome,
     WithdrawOutcome,
 )
-from .side_book import LostConnection, SideBook
+from .request_registry import LostConnection, RequestRegistry
 
 __all__ = [
     "AttemptBroken",
@@ -39,8 +39,8 @@
     "Ran",
     "RecordFault",
     "RequestKey",
+    "RequestRegistry",
     "SequenceFault",
-    "SideBook",
     "SubmitOutcome",
     "WithdrawOutcome",
     "fingerprint",
--- a/cranberryline/requests/claims.py
+++ b/cranberryline/requests/claims.py
@@ -27,7 +27,7 @@
     KIND_CLAIM,
     KIND_OUTCOME,
     MAX_KEY_LENGTH,
-    MAX_RECORDED_BODY,
+    MAX_RECORDED_BODY_BYTES,
 )
 from .errors import RecordFault
 from .model import Claim, ClaimOutcome, ClaimState
@@ -89,7 +89,7 @@
 ) -> dict[str, Any]:
     """Return the record that settles a claim with its answer.
 
-    A body of more than `MAX_RECORDED_BODY` is left out.
+    A body of more than `MAX_RECORDED_BODY_BYTES` is left out.
     """
     data: dict[str, Any] = {
         ATTR_KIND: KIND_OUTCOME,
@@ -100,7 +100,7 @@
         ATTR_HEADERS: [list(header) for header in outcome.headers],
         ATTR_DIGEST: outcome.digest,
     }
-    if outcome.body is not None and len(outcome.body) <= MAX_RECORDED_BODY:
+    if outcome.body is not None and len(outcome.body) <= MAX_RECORDED_BODY_BYTES:
         data[ATTR_BODY] = base64.b64encode(outcome.body).decode()
     return data
 
@@ -132,11 +132,11 @@
     """
 
     window: timedelta = DEFAULT_CLAIM_WINDOW  # claims expire this long after their log time
-    next: int = 1  # offset of the next record to apply
-    faults: int = 0  # number of invalid records that were skipped
+    next_offset: int = 1  # offset of the next record to apply
+    invalid_records: int = 0  # number of records that were skipped
     _active: dict[str, Claim] = attrs.field(factory=dict)  # by key, in log order
     _seen: dict[str, datetime] = attrs.field(factory=dict)  # log time by claim id
-    _time: datetime | None = None
+    _latest_time: datetime | None = None
 
     def apply_page(self, page: LogPage) -> None:
         """Apply the records of a page in order and drop claims that the log no longer holds.
@@ -147,16 +147,16 @@
         """
         self._drop_below(page.first)
         for record in page.records:
-            if record.offset >= self.next:
+            if record.offset >= self.next_offset:
                 self._apply(record)
-                self.next = record.offset + 1
-        self.next = max(self.next, page.next)
+                self.next_offset = record.offset + 1
+        self.next_offset = max(self.next_offset, page.next)
 
-    def standing(self, key: str) -> Claim | None:
+    def active_claim(self, key: str) -> Claim | None:
         """Return the active claim of a key, or None."""
         return self._active.get(key)
 
-    def wins(self, key: str, claim_id: str) -> bool:
+    def is_active(self, key: str, claim_id: str) -> bool:
         """Return whether this claim is the active claim of its key."""
         claim = self._active.get(key)
         return claim is not None and claim.claim_id == claim_id
@@ -166,9 +166,9 @@
         return claim_id in self._seen
 
     @property
-    def time(self) -> datetime | None:
+    def latest_time(self) -> datetime | None:
         """Return the latest record time read from the log; windows are measured on this clock."""
-        return self._time
+        return self._latest_time
 
     def _apply(self, record: LogRecord) -> None:
         self._expire_claims(record.time)
@@ -177,7 +177,7 @@
         owner = data.get(ATTR_SIDE_INCARNATION)
         fields = (key, claim_id, owner)
         if not all(isinstance(field, str) and 0 < len(field) <= MAX_KEY_LENGTH for field in fields):
-            self.faults += 1
+            self.invalid_records += 1
             return
         if kind == KIND_CLAIM:
             self._apply_claim(record, key, claim_id, owner)
@@ -186,27 +186,27 @@
         elif kind == KIND_OUTCOME:
             self._apply_outcome(record, key, claim_id, owner)
         else:
-            self.faults += 1
+            self.invalid_records += 1
 
     def _apply_claim(self, record: LogRecord, key: str, claim_id: str, owner: str) -> None:
         digest, budget_ms = record.data.get(ATTR_FINGERPRINT), record.data.get(ATTR_BUDGET_MS)
         if not isinstance(digest, str) or not isinstance(budget_ms, int) or budget_ms < 0:
-            self.faults += 1
+            self.invalid_records += 1
             return
         # An append that is retried after a lost answer can write a claim twice. The second copy
         # must not become active after the first was abandoned: it would block the key.
         if claim_id in self._seen:
             return
-        self._seen[claim_id] = self._time
+        self._seen[claim_id] = self._latest_time
         if key not in self._active:
             budget = timedelta(milliseconds=budget_ms)
             self._active[key] = Claim(
-                key, claim_id, owner, digest, record.offset, self._time, budget
+                key, claim_id, owner, digest, record.offset, self._latest_time, budget
             )
 
     def _apply_abandon(self, key: str, claim_id: str, owner: str) -> None:
         # An abandon can precede the delayed append of its own claim, which must then be ignored.
-        self._seen.setdefault(claim_id, self._time)
+        self._seen.setdefault(claim_id, self._latest_time)
         claim = self._active.get(key)
         if claim is None or claim.claim_id != claim_id or claim.side_incarnation != owner:
             return
@@ -224,8 +224,8 @@
             )
 
     def _expire_claims(self, time: datetime) -> None:
-        self._time = time if self._time is None else max(self._time, time)
-        limit = self._time - self.window
+        self._latest_time = time if self._latest_time is None else max(self._latest_time, time)
+        limit = self._latest_time - self.window
         for key in _expired_keys(self._active, limit):
             del self._active[key]
         for claim_id in _expired_claim_ids(self._seen, limit):
--- a/cranberryline/requests/const.py
+++ b/cranberryline/requests/const.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-STREAM_CLAIMS = "claims."  # followed by the service name
+CLAIM_STREAM_PREFIX = "claims."  # followed by the service name
 
 ATTR_BODY = "body"
 ATTR_BUDGET_MS = "budget_ms"
@@ -20,13 +20,13 @@
 KIND_OUTCOME = "outcome"
 
 # Larger answer bodies are not stored in the log; their digest is.
-MAX_RECORDED_BODY = 16 * 1024
+MAX_RECORDED_BODY_BYTES = 16 * 1024
 MAX_KEY_LENGTH = 512  # characters; applies to scoped keys, claim ids and incarnations
 
 # How long an idempotency key is remembered. The log's retention applies if it is shorter.
 DEFAULT_CLAIM_WINDOW = timedelta(hours=1)
 # A claim older than its budget plus this margin is reported as `unknown` instead of `in_progress`.
-CLAIM_MARGIN = timedelta(seconds=5)
+IN_PROGRESS_MARGIN = timedelta(seconds=5)
 
 # Ended request ids kept per connection. For an evicted id the side process can no longer tell
 # whether the request ran.
--- a/cranberryline/requests/side_book.py
+++ b/cranberryline/requests/request_registry.py
@@ -12,7 +12,7 @@
 from .errors import NotRunReason
 from .model import CancelOutcome, RequestKey, SubmitOutcome, WithdrawOutcome
 
-__all__ = ["LostConnection", "SideBook"]
+__all__ = ["LostConnection", "RequestRegistry"]
 
 
 class _State(enum.Enum):
@@ -70,7 +70,7 @@
         ]
 
 
-class SideBook:
+class RequestRegistry:
     """Track the requests of each connection and decide which of them may run.
 
     A request that was reported as not run never runs later, because the caller may have sent it
@@ -195,7 +195,7 @@
         """Drop the queued requests whose deadline has passed; return their keys."""
         return self._drop_queued(lambda request: request.deadline <= now)
 
-    def lose(self, connection: str) -> LostConnection:
+    def remove_connection(self, connection: str) -> LostConnection:
         """Remove a connection, drop its queued requests and return which runs to stop.
 
         Runs that are not idempotent continue and are tracked until they finish.
--- a/cranberryline/side/app.py
+++ b/cranberryline/side/app.py
@@ -22,7 +22,7 @@
 from cranberryline.helpers.problem import ProblemHandler
 from cranberryline.helpers.shutdown import Shutdown
 from cranberryline.ports.clients import HttpEngine, HttpLog
-from cranberryline.requests import SideBook
+from cranberryline.requests import RequestRegistry
 from cranberryline.settings import SideSettings
 from cranberryline.transport import Connection
 from cranberryline.transport.model import (
@@ -86,7 +86,7 @@
         self.server: PeerServer | None = None
         self.incarnation = uuid.uuid4().hex
         self.metrics = Metrics()
-        self.book = SideBook(self.incarnation)
+        self.book = RequestRegistry(self.incarnation)
         self.engine = HttpEngine(cfg.upstream_url)
         self.claims = ClaimService(HttpLog(cfg.log_url), cfg.service, self.incarnation, clock)
         execution = Execution(clock, self.metrics, self.engine, self.claims)
--- a/tests/execution/conftest.py
+++ b/tests/execution/conftest.py
@@ -20,7 +20,7 @@
     UpstreamHead,
     UpstreamRequest,
 )
-from cranberryline.requests import RequestKey, SideBook
+from cranberryline.requests import RequestKey, RequestRegistry
 from cranberryline.requests.errors import ClaimReason, ClaimRefused
 from cranberryline.requests.model import ClaimOutcome
 from cranberryline.transport.model import Message, Submit
@@ -114,7 +114,7 @@
         self.claims = FakeClaims()
         self.metrics = Metrics()
         clock = SystemClock()
-        book = SideBook(INCARNATION)
+        book = RequestRegistry(INCARNATION)
         book.open(CONNECTION)
         execution = Execution(clock, self.metrics, self.upstream, self.claims)  # type: ignore[arg-type]
         self.runner = Runner(clock, execution, self.metrics, book, concurrency=1)
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -15,7 +15,7 @@
     outcome_from_record,
     outcome_record,
 )
-from cranberryline.requests.const import MAX_RECORDED_BODY
+from cranberryline.requests.const import MAX_RECORDED_BODY_BYTES
 
 START = datetime(2026, 1, 1, tzinfo=UTC)
 BUDGET = timedelta(seconds=10)
@@ -66,14 +66,14 @@
     stream.add(claim("k", "a", "s1"))
     stream.add(claim("k", "b", "s2"))
     fold.apply_page(stream.page())
-    assert fold.wins("k", "a")
-    assert not fold.wins("k", "b")
+    assert fold.is_active("k", "a")
+    assert not fold.is_active("k", "b")
     stream.add(abandon_record("k", "a", "s1"))
     fold.apply_page(stream.page())
-    assert fold.standing("k") is None
+    assert fold.active_claim("k") is None
     stream.add(claim("k", "c", "s2"))
     fold.apply_page(stream.page())
-    assert fold.wins("k", "c")
+    assert fold.is_active("k", "c")
 
 
 def test_abandon_or_outcome_of_another_owner_is_ignored(stream: Stream, fold: ClaimFold) -> None:
@@ -83,8 +83,8 @@
     stream.add(abandon_record("k", "b", "s1"))
     stream.add(outcome_record("k", "a", "s2", ClaimOutcome(200)))
     fold.apply_page(stream.page())
-    assert fold.wins("k", "a")
-    assert fold.standing("k").state is ClaimState.CLAIMED
+    assert fold.is_active("k", "a")
+    assert fold.active_claim("k").state is ClaimState.CLAIMED
 
 
 def test_settled_claim_cannot_be_abandoned(stream: Stream, fold: ClaimFold) -> None:
@@ -93,8 +93,8 @@
     settled = stream.add(outcome_record("k", "a", "s1", ClaimOutcome(200)))
     stream.add(abandon_record("k", "a", "s1"))
     fold.apply_page(stream.page())
-    assert fold.standing("k").state is ClaimState.SETTLED
-    assert fold.standing("k").outcome_offset == settled
+    assert fold.active_claim("k").state is ClaimState.SETTLED
+    assert fold.active_claim("k").outcome_offset == settled
 
 
 @pytest.mark.parametrize("abandon_first", [True, False])
@@ -107,7 +107,7 @@
     stream.add(abandon_record("k", "a", "s1"))
     stream.add(claim("k", "a"))
     fold.apply_page(stream.page())
-    assert fold.standing("k") is None
+    assert fold.active_claim("k") is None
 
 
 def test_claim_expires_after_the_window(stream: Stream, fold: ClaimFold) -> None:
@@ -115,10 +115,10 @@
     stream.add(claim("k", "a"))
     stream.add(claim("other", "b"), after=timedelta(minutes=59))
     fold.apply_page(stream.page())
-    assert fold.wins("k", "a")
+    assert fold.is_active("k", "a")
     stream.add(claim("k", "c"), after=timedelta(minutes=2))
     fold.apply_page(stream.page())
-    assert fold.wins("k", "c")
+    assert fold.is_active("k", "c")
 
 
 def test_claims_below_the_log_start_are_dropped(stream: Stream) -> None:
@@ -136,8 +136,8 @@
     started = ClaimFold()
     started.apply_page(stream.page(first=2))
     running.apply_page(stream.page(first=2))
-    assert started.wins("k", "b")
-    assert running.standing("k") == started.standing("k")
+    assert started.is_active("k", "b")
+    assert running.active_claim("k") == started.active_claim("k")
 
 
 @pytest.mark.parametrize(
@@ -155,12 +155,12 @@
 def test_invalid_records_are_counted_and_skipped(
     stream: Stream, fold: ClaimFold, data: dict[str, Any]
 ) -> None:
-    """A record that is not a valid claim record is skipped and counted as a fault."""
+    """A record that is not a valid claim record is skipped and counted."""
     stream.add(data)
     fold.apply_page(stream.page())
-    assert fold.faults == 1
-    assert fold.standing("k") is None
-    assert fold.next == 2
+    assert fold.invalid_records == 1
+    assert fold.active_claim("k") is None
+    assert fold.next_offset == 2
 
 
 records = st.one_of(
@@ -204,11 +204,11 @@
     """Within the window an active claim is removed only by an abandon of its owner."""
     stream, fold = Stream(), ClaimFold()
     for data in datas:
-        before = {key: fold.standing(key) for key in "kl"}
+        before = {key: fold.active_claim(key) for key in "kl"}
         stream.add(data)
         fold.apply_page(stream.page())
         for key, claim_before in before.items():
-            after = fold.standing(key)
+            after = fold.active_claim(key)
             if claim_before is None or (after and after.claim_id == claim_before.claim_id):
                 continue
             assert data["kind"] == "abandon"
@@ -218,8 +218,8 @@
 
 def test_outcome_round_trip_and_large_bodies() -> None:
     """A body up to the limit is recorded; for a larger one only the digest is."""
-    small = ClaimOutcome(201, (("A", "b"),), b"x" * MAX_RECORDED_BODY, "d")
-    large = ClaimOutcome(201, (), b"x" * (MAX_RECORDED_BODY + 1), "d")
+    small = ClaimOutcome(201, (("A", "b"),), b"x" * MAX_RECORDED_BODY_BYTES, "d")
+    large = ClaimOutcome(201, (), b"x" * (MAX_RECORDED_BODY_BYTES + 1), "d")
     assert outcome_from_record(outcome_record("k", "a", "s", small)).unwrap() == small
     assert outcome_from_record(outcome_record("k", "a", "s", large)).unwrap().body is None
     assert outcome_from_record({"status": "x"}).is_err()
--- a/tests/requests/test_protocol.py
+++ b/tests/requests/test_protocol.py
@@ -20,7 +20,7 @@
     EntryAttempt,
     Ran,
     RequestKey,
-    SideBook,
+    RequestRegistry,
     SubmitOutcome,
     WithdrawOutcome,
 )
@@ -84,7 +84,7 @@
         super().__init__()
         self.now = timedelta(seconds=1)
         self.incarnation = 0
-        self.book = SideBook("incarnation-0")
+        self.registry = RequestRegistry("incarnation-0")
         self.conns = [""] * ENTRIES
         self.known_incarnations = ["incarnation-0"] * ENTRIES
         self.connection_count = 0
@@ -119,7 +119,7 @@
         self.connection_count += 1
         self.conns[entry] = f"{entry}-{self.connection_count}"
         self.known_incarnations[entry] = f"incarnation-{self.incarnation}"
-        self.book.open(self.conns[entry])
+        self.registry.open(self.conns[entry])
 
     def _dispatch(self, number: int, entry: int) -> None:
         request = self.requests[number]
@@ -170,7 +170,7 @@
         index = position % len(self.to_side)
         conn, msg = self.to_side[index] if duplicate else self.to_side.pop(index)
         if isinstance(msg, Withdraw):
-            outcome = self.book.withdraw(RequestKey(conn, msg.id))
+            outcome = self.registry.withdraw(RequestKey(conn, msg.id))
             self._reply(conn, Withdrawn(msg.id, outcome.value))
         elif isinstance(msg, Submit):
             self._submit(conn, msg)
@@ -178,7 +178,7 @@
     def _submit(self, conn: str, msg: Submit) -> None:
         key = RequestKey(conn, msg.id)
         deadline = self.now + BUDGET
-        result = self.book.submit(key, msg.incarnation, deadline, msg.idempotent, self.now)
+        result = self.registry.submit(key, msg.incarnation, deadline, msg.idempotent, self.now)
         if isinstance(result, Err):
             self._reply(conn, NotRun(msg.id, result.unwrap_err().value, 0))
         elif result.unwrap() is SubmitOutcome.QUEUED:
@@ -262,7 +262,7 @@
     def start(self, position: int) -> None:
         """Start a queued request; the journal counts the runs of each attempt at the upstream."""
         key, number = self.queued.pop(position % len(self.queued))
-        if self.book.start(key, self.now):
+        if self.registry.start(key, self.now):
             self.journal[number] += 1
             self.runs.append(Run(key, number))
 
@@ -289,7 +289,7 @@
         run.sent_frames += 1
         if fail or run.sent_frames == CHUNKS + 2:
             self.runs.remove(run)
-            self.book.finish(run.key)
+            self.registry.finish(run.key)
 
     @precondition(lambda self: self.attempts)
     @rule(position=positions)
@@ -331,7 +331,7 @@
             if sent.conn == old:
                 sent.attempt.on_connection_lost()
         if noticed:
-            lost = self.book.lose(old)
+            lost = self.registry.remove_connection(old)
             self.queued = [(key, number) for key, number in self.queued if key not in lost.dropped]
         self._connect(entry)
         self.to_side = [
@@ -343,7 +343,7 @@
     def restart_side(self, noticed: bool, reroute: bool) -> None:
         """Kill and restart the side process; the entries notice immediately or later."""
         self.incarnation += 1
-        self.book = SideBook(f"incarnation-{self.incarnation}")
+        self.registry = RequestRegistry(f"incarnation-{self.incarnation}")
         self.queued.clear()
         self.runs.clear()
         for entry in range(ENTRIES if noticed else 0):
@@ -351,14 +351,14 @@
 
     def _drain(self) -> None:
         """Start a planned shutdown of the side process."""
-        for key in self.book.drain():
+        for key in self.registry.drain():
             self.queued = [(other, number) for other, number in self.queued if other != key]
             self._reply(key.connection, NotRun(key.id, "draining", 0))
 
     def _wait(self, seconds: int) -> None:
         """Advance the clock and expire queued requests."""
         self.now += timedelta(seconds=seconds)
-        for key in self.book.expire(self.now):
+        for key in self.registry.expire(self.now):
             self.queued = [(other, number) for other, number in self.queued if other != key]
             self._reply(key.connection, NotRun(key.id, "deadline", 0))
 
--- a/tests/requests/test_traces.py
+++ b/tests/requests/test_traces.py
@@ -7,7 +7,7 @@
 import pytest
 from result import Err
 
-from cranberryline.requests import EntryAttempt, RequestKey, SideBook, WithdrawOutcome
+from cranberryline.requests import EntryAttempt, RequestKey, RequestRegistry, WithdrawOutcome
 from tests.replaying import replay
 
 TRACES = sorted((Path(__file__).parent.parent / "traces").glob("requests_*.jsonl"))
@@ -24,25 +24,25 @@
 
     def restart(self, line: dict[str, Any]) -> None:
         """Restart the side process as a new incarnation, named `life` in the traces."""
-        self.book = SideBook(line["life"])
+        self.registry = RequestRegistry(line["life"])
 
     def open(self, line: dict[str, Any]) -> None:
         """Open a connection."""
-        self.book.open(line["conn"])
+        self.registry.open(line["conn"])
 
     def submit(self, line: dict[str, Any]) -> str:
         """Deliver a Submit to the side process."""
         key = RequestKey(line["conn"], line["id"])
-        result = self.book.submit(key, line["life"], LATER, line["idempotent"], NOW)
+        result = self.registry.submit(key, line["life"], LATER, line["idempotent"], NOW)
         return (result.unwrap_err() if isinstance(result, Err) else result.unwrap()).value
 
     def start(self, line: dict[str, Any]) -> bool:
         """Start a request."""
-        return self.book.start(RequestKey(line["conn"], line["id"]), NOW)
+        return self.registry.start(RequestKey(line["conn"], line["id"]), NOW)
 
     def side_withdraw(self, line: dict[str, Any]) -> str:
         """Deliver a Withdraw to the side process."""
-        return self.book.withdraw(RequestKey(line["conn"], line["id"])).value
+        return self.registry.withdraw(RequestKey(line["conn"], line["id"])).value
 
     def send(self, line: dict[str, Any]) -> None:
         """Dispatch an attempt."""
