--- a/cranberryline/requests/__init__.py
+++ b/cranberryline/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Requests: what may run, what was not run, and what the caller may be told of it."""
+"""Request state on both ends of a dispatch, and the claims of idempotency keys."""
 
 from .attempt import EntryAttempt
 from .claims import ClaimFold, fingerprint, scoped_key
@@ -18,7 +18,7 @@
     SubmitOutcome,
     WithdrawOutcome,
 )
-from .side_book import LostConnection, SideBook
+from .request_registry import LostConnection, RequestRegistry
 
 __all__ = [
     "AttemptBroken",
@@ -39,8 +39,8 @@
     "Ran",
     "RecordFault",
     "RequestKey",
+    "RequestRegistry",
     "SequenceFault",
-    "SideBook",
     "SubmitOutcome",
     "WithdrawOutcome",
     "fingerprint",
