--- a/cranberryline/samples/__init__.py
+++ b/cranberryline/samples/__init__.py
@@ -1,4 +1,4 @@
-"""Samples: their identities, attribution and exactly-once hand-over to trainers."""
+"""Generation of samples and their exactly-once delivery to trainers."""
 
 from .attribution import CompletionStream, read_completion
 from .cursor import Cursor, decode_cursor
--- a/cranberryline/samples/attribution.py
+++ b/cranberryline/samples/attribution.py
@@ -1,4 +1,4 @@
-"""Read an engine's answer into text and segments; what can't be attributed is an error."""
+"""Parse engine responses into text and segments of one weight version each."""
 
 import codecs
 import json
@@ -16,8 +16,8 @@
     ATTR_TEXT,
     ATTR_TOKENS,
     ATTR_WEIGHT_VERSION,
-    MAX_SSE_LINE,
-    MAX_TOKENS,
+    MAX_SSE_LINE_CHARS,
+    MAX_TOKENS_PER_SAMPLE,
     MAX_VERSION,
     SSE_DATA,
     SSE_DONE,
@@ -29,10 +29,10 @@
 
 
 class CompletionStream:
-    """Take in a stream of server-sent events piece by piece, split anywhere.
+    """Incremental parser for a response streamed as server-sent events.
 
-    Versions come only from what the engine says about its tokens, never from what was ordered:
-    a swap that failed half way would otherwise be named as the version it did not reach.
+    Weight versions come only from what the engine reports with its tokens, not from the version it
+    was ordered to load: after a swap that failed half way, the two differ.
     """
 
     def __init__(self) -> None:
@@ -46,52 +46,59 @@
 
     @property
     def tokens(self) -> int:
-        """Return how many tokens came so far."""
+        """Return the number of tokens received so far."""
         return sum(segment.tokens for segment in self._segments)
 
     def feed(self, data: bytes) -> None:
-        """Take in the next bytes of the body; after an error the rest is skipped."""
+        """Parse the next bytes of the body, which may be split anywhere.
+
+        After an error, the rest of the body is ignored.
+        """
         if self._error is not None:
             return
         try:
             self._line += self._decoder.decode(data)
         except UnicodeDecodeError:
-            self._fail(DiscardReason.MALFORMED, "not UTF-8")
+            self._fail(DiscardReason.MALFORMED, "the body is not valid UTF-8")
             return
         *lines, self._line = self._line.replace("\r\n", "\n").split("\n")
         for line in lines:
-            self._take_line(line)
-        if len(self._line) > MAX_SSE_LINE:
-            self._fail(DiscardReason.MALFORMED, "a line without an end")
+            self._process_line(line)
+        if len(self._line) > MAX_SSE_LINE_CHARS:
+            self._fail(DiscardReason.MALFORMED, f"a line exceeds {MAX_SSE_LINE_CHARS} characters")
 
     def finish(self, upstream: str = "") -> Result[Completion, AttributionError]:
-        """Return the whole answer, once the body has ended."""
+        """Return the completion after the end of the body, or the first error found in it."""
         if self._error is not None:
             return Err(self._error)
-        # A stream that breaks off between two events is valid up to there and looks like a short
-        # sample. Only the end marks, the engine's and the stream's, tell the two apart.
+        # A stream that is truncated between two events is valid so far and looks like a short
+        # sample. Only the finish reason and the `[DONE]` event tell the two apart.
         if not self._done or not self._finished:
-            return Err(AttributionError(DiscardReason.CUT, "the stream ended before its end mark"))
+            return Err(
+                AttributionError(
+                    DiscardReason.TRUNCATED, "the stream ended without a finish reason and [DONE]"
+                )
+            )
         return _completion("".join(self._texts), self._segments, upstream)
 
-    def _take_line(self, line: str) -> None:
+    def _process_line(self, line: str) -> None:
         if self._error is not None or not line.startswith(SSE_DATA):
             return
         payload = line.removeprefix(SSE_DATA).strip()
         if self._done:
-            self._fail(DiscardReason.MALFORMED, "an event after the end mark")
+            self._fail(DiscardReason.MALFORMED, "the stream has an event after [DONE]")
         elif payload == SSE_DONE:
             self._done = True
         else:
-            self._take_event(payload)
+            self._process_event(payload)
 
-    def _take_event(self, payload: str) -> None:
+    def _process_event(self, payload: str) -> None:
         try:
             event = json.loads(payload)
             choice = event[ATTR_CHOICES][0]
             text = _text(choice)
         except (ValueError, LookupError, TypeError, AttributeError, RecursionError):
-            self._fail(DiscardReason.MALFORMED, "an event of another shape")
+            self._fail(DiscardReason.MALFORMED, "an event is not a completion chunk")
             return
         tokens = event.get(ATTR_TOKENS, 0)
         if not text and tokens == 0:
@@ -112,22 +119,24 @@
 
 
 def read_completion(data: Any, upstream: str = "") -> Result[Completion, AttributionError]:
-    """Read an answer that was not streamed, with its list of segments."""
+    """Parse the JSON of a response that was not streamed, which lists its segments."""
     try:
         choice = data[ATTR_CHOICES][0]
         text = _text(choice)
         finished = bool(choice.get(ATTR_FINISH_REASON))
     except (LookupError, TypeError, AttributeError):
-        return Err(AttributionError(DiscardReason.MALFORMED, "an answer of another shape"))
+        return Err(AttributionError(DiscardReason.MALFORMED, "the response is not a completion"))
     if not finished:
-        return Err(AttributionError(DiscardReason.CUT, "no finish reason"))
+        return Err(AttributionError(DiscardReason.TRUNCATED, "the response has no finish reason"))
     rows = data.get(ATTR_SEGMENTS)
     if not isinstance(rows, list):
-        return Err(AttributionError(DiscardReason.VERSION_MISSING, "no segments"))
+        return Err(
+            AttributionError(DiscardReason.VERSION_MISSING, "the response has no list of segments")
+        )
     segments: list[Segment] = []
     for row in rows:
         if not isinstance(row, dict):
-            return Err(AttributionError(DiscardReason.MALFORMED, "a segment of another shape"))
+            return Err(AttributionError(DiscardReason.MALFORMED, "a segment is not an object"))
         segment = _segment(row.get(ATTR_WEIGHT_VERSION), row.get(ATTR_TOKENS))
         if isinstance(segment, AttributionError):
             return Err(segment)
@@ -139,31 +148,36 @@
     text: str, segments: list[Segment], upstream: str
 ) -> Result[Completion, AttributionError]:
     if not segments:
-        return Err(AttributionError(DiscardReason.VERSION_MISSING, "no token has a version"))
+        return Err(
+            AttributionError(
+                DiscardReason.VERSION_MISSING, "the response has no tokens with a weight version"
+            )
+        )
     return Ok(Completion(text, tuple(segments), upstream))
 
 
 def _text(choice: dict[str, Any]) -> str:
-    holder = choice.get(ATTR_DELTA) or choice.get(ATTR_MESSAGE)
-    text = holder.get(ATTR_CONTENT) if holder else choice.get(ATTR_TEXT)
+    message = choice.get(ATTR_DELTA) or choice.get(ATTR_MESSAGE)
+    text = message.get(ATTR_CONTENT) if message else choice.get(ATTR_TEXT)
     if text is None:
         return ""
     if not isinstance(text, str):
-        raise TypeError("text is no text")
+        raise TypeError("the text is not a string")
     return text
 
 
 def _segment(version: Any, tokens: Any) -> Segment | AttributionError:
     if version is None:
-        return AttributionError(DiscardReason.VERSION_MISSING, "tokens without a version")
+        return AttributionError(DiscardReason.VERSION_MISSING, "tokens have no weight version")
     if type(version) is not int or not 0 <= version <= MAX_VERSION:
         return AttributionError(DiscardReason.VERSION_INVALID, f"{version!r:.40}")
-    if type(tokens) is not int or not 0 < tokens <= MAX_TOKENS:
+    if type(tokens) is not int or not 0 < tokens <= MAX_TOKENS_PER_SAMPLE:
         return AttributionError(DiscardReason.TOKENS_INVALID, f"{tokens!r:.40}")
     return Segment(version, tokens)
 
 
 def _append(segments: list[Segment], segment: Segment) -> None:
+    """Append a segment, merged into the last one if both have the same weight version."""
     last = segments[-1] if segments else None
     if last is None or last.weight_version != segment.weight_version:
         segments.append(segment)
--- a/cranberryline/samples/const.py
+++ b/cranberryline/samples/const.py
@@ -1,22 +1,22 @@
-"""Constants of samples: limits and the cursor's format."""
+"""Limits, timeouts and field names for samples."""
 
 from datetime import timedelta
 
-CURSOR_VERSION = 1
-CURSOR_START = ""  # the cursor of a trainer that has received nothing of its step
+CURSOR_FORMAT_VERSION = 1
+CURSOR_START = ""  # cursor of a trainer that has received no samples of the step
 
 MAX_GROUPS = 16_384
 MAX_SAMPLES_PER_STEP = 65_536
-MAX_TOKENS = 1_000_000
+MAX_TOKENS_PER_SAMPLE = 1_000_000
 MAX_VERSION = 2**53
 
-# A sample and its hedges; a third run of one sample costs an engine slot more than it saves.
+# Concurrent attempts per sample, including hedges; a third costs more engine time than it saves.
 MAX_ATTEMPTS = 2
 
 SSE_DONE = "[DONE]"
 SSE_DATA = "data:"
-# A stream without a line end is not one of ours and would fill the memory.
-MAX_SSE_LINE = 1024 * 1024
+# Bounds the memory used for a stream that has no line breaks, which no supported engine sends.
+MAX_SSE_LINE_CHARS = 1024 * 1024
 
 ATTR_CHOICES = "choices"
 ATTR_CONTENT = "content"
@@ -28,10 +28,10 @@
 ATTR_TOKENS = "tokens"
 ATTR_WEIGHT_VERSION = "weight_version"
 
-# A step whose trainer has not called for this long is dropped; the trainer declares it again.
-DEFAULT_QUIET_AFTER = timedelta(minutes=10)
-# One that serves a step in place of an owner it can't reach goes on this long without a call.
-NOT_OWNER_QUIET_AFTER = timedelta(seconds=30)
+# A step is dropped after this time without a call from its trainer, which can declare it again.
+DEFAULT_IDLE_TIMEOUT = timedelta(minutes=10)
+# Idle timeout at an entry that serves a step only because it could not reach the owner.
+NON_OWNER_IDLE_TIMEOUT = timedelta(seconds=30)
 MAX_STEPS = 1024
 
 MAX_PULL = 4096
--- a/cranberryline/samples/cursor.py
+++ b/cranberryline/samples/cursor.py
@@ -1,4 +1,4 @@
-"""The cursor: the one durable record of which samples of a step a trainer has received."""
+"""Cursors, the only durable record of which samples of a step a trainer has received."""
 
 import base64
 import binascii
@@ -8,24 +8,24 @@
 import attrs
 from result import Err, Ok, Result
 
-from .const import CURSOR_START, CURSOR_VERSION, MAX_SAMPLES_PER_STEP
+from .const import CURSOR_FORMAT_VERSION, CURSOR_START, MAX_SAMPLES_PER_STEP
 from .errors import CursorError, CursorReason
 from .model import StepDeclaration
 
 __all__ = ["Cursor", "decode_cursor"]
 
-# Format version, step, digest of the declaration, number of samples in the step; then the
-# compressed bitmap, then a checksum of all before it.
+# A token holds the format version, the step, the digest of the declaration and the number of
+# samples in the step, then the compressed bitmap, then a checksum of everything before it.
 _HEADER = struct.Struct("!BQ8sI")
 _CHECKSUM = struct.Struct("!I")
-_MAX_TOKEN = 2 * MAX_SAMPLES_PER_STEP
+_MAX_TOKEN_LENGTH = 2 * MAX_SAMPLES_PER_STEP
 
 
 @attrs.frozen
 class Cursor:
-    """The set of received samples; bit `p` of `received` stands for position `p` of the step.
+    """The set of samples that a trainer has received; bit `p` of `received` is position `p`.
 
-    A step of 8,192 samples makes a token of 1.4 KB at worst, one of 64 samples about 56 bytes.
+    The token takes at most 1.4 KB for a step of 8,192 samples, and about 56 bytes for 64 samples.
     """
 
     step: int
@@ -35,64 +35,66 @@
 
     @classmethod
     def start(cls, declaration: StepDeclaration) -> "Cursor":
-        """Return the cursor of a trainer that has received nothing."""
+        """Return the cursor of a trainer that has received no samples of the step."""
         return cls(declaration.step, declaration.digest, declaration.size)
 
     @property
     def complete(self) -> bool:
-        """Return whether every sample of the step was received."""
+        """Return whether the trainer has received every sample of the step."""
         return self.received == (1 << self.size) - 1
 
     def covers(self, position: int) -> bool:
-        """Return whether a sample was received."""
+        """Return whether the trainer has received the sample at a position."""
         return bool(self.received >> position & 1)
 
     def with_received(self, positions: list[int]) -> "Cursor":
-        """Return the cursor that covers these samples too."""
+        """Return a copy that also covers the samples at these positions."""
         received = self.received
         for position in positions:
             received |= 1 << position
         return attrs.evolve(self, received=received)
 
     def encode(self) -> str:
-        """Return the token; the start of a step is the empty one."""
+        """Return the token that represents the cursor, which is empty if nothing was received."""
         if not self.received:
             return CURSOR_START
         bitmap = self.received.to_bytes((self.size + 7) // 8, "little")
-        head = _HEADER.pack(CURSOR_VERSION, self.step, self.digest, self.size)
+        head = _HEADER.pack(CURSOR_FORMAT_VERSION, self.step, self.digest, self.size)
         payload = head + zlib.compress(bitmap, 9)
         payload += _CHECKSUM.pack(zlib.crc32(payload))
         return base64.urlsafe_b64encode(payload).decode().rstrip("=")
 
 
 def decode_cursor(token: str, declaration: StepDeclaration) -> Result[Cursor, CursorError]:
-    """Read a token back and check that it belongs to this declaration."""
+    """Decode a token and check that it belongs to this declaration."""
     if token == CURSOR_START:
         return Ok(Cursor.start(declaration))
-    payload = _payload(token)
+    payload = _decode_payload(token)
     if payload is None:
-        return _malformed("it is no cursor, or was damaged")
-    if payload[0] != CURSOR_VERSION:
+        return _malformed("it is not a cursor, or it is corrupted")
+    if payload[0] != CURSOR_FORMAT_VERSION:
         return Err(CursorError(CursorReason.UNKNOWN_VERSION, f"format version {payload[0]}"))
     _, step, digest, size = _HEADER.unpack_from(payload)
     expected = (declaration.step, declaration.digest, declaration.size)
-    # Positions mean nothing under another declaration: samples would be skipped as received.
+    # With another declaration, the positions refer to other samples, which would be skipped.
     if (step, digest, size) != expected:
         return Err(
-            CursorError(CursorReason.OTHER_STEP, f"it belongs to step {step}, or its groups differ")
+            CursorError(CursorReason.OTHER_STEP, f"it belongs to step {step}, or the groups differ")
         )
-    received = _received(payload[_HEADER.size : -_CHECKSUM.size], size)
+    received = _decode_bitmap(payload[_HEADER.size : -_CHECKSUM.size], size)
     if received is None:
-        return _malformed("its set of samples does not fit the step")
+        return _malformed("its bitmap does not match the size of the step")
     return Ok(Cursor(step, digest, size, received))
 
 
-def _payload(token: str) -> bytes | None:
-    if len(token) > _MAX_TOKEN:
+def _decode_payload(token: str) -> bytes | None:
+    if len(token) > _MAX_TOKEN_LENGTH:
         return None
     try:
-        raw = token.encode("ascii")
-        payload = base64.b64decode(raw + b"=" * (-len(raw) % 4), altchars=b"-_", validate=True)
+        encoded = token.encode("ascii")
+        payload = base64.b64decode(
+            encoded + b"=" * (-len(encoded) % 4), altchars=b"-_", validate=True
+        )
     except (UnicodeEncodeError, binascii.Error, ValueError):
         return None
     if len(payload) <= _HEADER.size + _CHECKSUM.size:
@@ -101,14 +103,15 @@
     return payload if zlib.crc32(payload[: -_CHECKSUM.size]) == checksum else None
 
 
-def _received(compressed: bytes, size: int) -> int | None:
+def _decode_bitmap(compressed: bytes, size: int) -> int | None:
     length = (size + 7) // 8
-    inflate = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        bitmap = inflate.decompress(compressed, length + 1)
+        # One byte more than expected is enough to detect a bitmap that is too long.
+        bitmap = decompressor.decompress(compressed, length + 1)
     except zlib.error:
         return None
-    if len(bitmap) != length or not inflate.eof or inflate.unused_data:
+    if len(bitmap) != length or not decompressor.eof or decompressor.unused_data:
         return None
     received = int.from_bytes(bitmap, "little")
     return received if received >> size == 0 else None
--- a/cranberryline/samples/errors.py
+++ b/cranberryline/samples/errors.py
@@ -1,4 +1,4 @@
-"""Errors of samples."""
+"""Errors and rejection reasons for samples."""
 
 import enum
 
@@ -15,7 +15,7 @@
 
 
 class CursorReason(enum.StrEnum):
-    """Why a cursor is not accepted."""
+    """Why a cursor is rejected."""
 
     MALFORMED = "cursor_malformed"
     UNKNOWN_VERSION = "cursor_unknown_version"
@@ -24,19 +24,19 @@
 
 @attrs.frozen
 class CursorError:
-    """A cursor that does not belong to this step, or is no cursor."""
+    """A cursor that is invalid or belongs to another step."""
 
     reason: CursorReason
     detail: str = ""
 
 
 class DiscardReason(enum.StrEnum):
-    """Why a finished or broken sample is not delivered."""
+    """Why the result of an attempt is discarded instead of delivered."""
 
     VERSION_MISSING = "version_missing"
     VERSION_INVALID = "version_invalid"
     TOKENS_INVALID = "tokens_invalid"
-    CUT = "cut"
+    TRUNCATED = "cut"
     MALFORMED = "malformed"
     STALE = "stale"
     FAILED = "failed"
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class AttributionError:
-    """An engine's answer whose text can't be attributed to weight versions."""
+    """An engine response whose text can't be attributed to weight versions."""
 
     reason: DiscardReason
     detail: str = ""
@@ -52,15 +52,15 @@
 
 @attrs.frozen
 class DeclarationError:
-    """A declaration of a step that breaks a rule, by the field and what is allowed."""
+    """The first invalid field of a step declaration; `detail` says what the field allows."""
 
     field: str
     detail: str
 
 
 class StepRefusal(enum.StrEnum):
-    """Why a declared step is not taken in."""
+    """Why the declaration of a step is rejected."""
 
-    STEP_DIFFERS = "step_differs"
+    STEP_DIFFERS = "step_differs"  # declared before with other groups or another service
     TOO_MANY_STEPS = "too_many_steps"
     STOPPING = "stopping"
--- a/cranberryline/samples/hedging.py
+++ b/cranberryline/samples/hedging.py
@@ -1,4 +1,4 @@
-"""A simple hedging policy: the slowest samples of a step, once the rest of it has started."""
+"""Hedging policy that selects the slowest samples of a step."""
 
 from collections.abc import Sequence
 from datetime import timedelta
@@ -11,29 +11,30 @@
 
 __all__ = ["SlowestFirst"]
 
-# Below three finished samples there is no typical duration to compare with.
+# With fewer finished samples, the median duration is not representative.
 MIN_FINISHED = 3
 
 
 @attrs.frozen
 class SlowestFirst(HedgePolicy):
-    """Hedge what has run for `factor` times the median of the finished, a share at a time.
+    """Hedges samples that have run for `factor` times the median duration of finished samples.
 
-    Without the share a slowdown of all engines would double their load.
+    Each call selects at most `max_fraction` of the running samples (but at least one), since a
+    slowdown of all engines would otherwise double their load.
     """
 
     factor: float = 2.0
-    share: float = 0.1
+    max_fraction: float = 0.1
     min_elapsed: timedelta = timedelta(seconds=1)
 
     def pick(
-        self, running: Sequence[RunningSample], finished: Sequence[timedelta], room: int
+        self, running: Sequence[RunningSample], finished: Sequence[timedelta], free_slots: int
     ) -> list[SampleId]:
-        """Return the samples to hedge, the slowest first."""
+        """Return the samples to hedge, slowest first."""
         if len(finished) < MIN_FINISHED:
             return []
-        bound = max(median(finished) * self.factor, self.min_elapsed)
-        slow = [sample for sample in running if sample.elapsed > bound]
+        threshold = max(median(finished) * self.factor, self.min_elapsed)
+        slow = [sample for sample in running if sample.elapsed > threshold]
         slow.sort(key=lambda sample: (-sample.elapsed, sample.id))
-        most = max(1, int(len(running) * self.share))
-        return [sample.id for sample in slow[: min(most, max(room, 0))]]
+        max_hedges = max(1, int(len(running) * self.max_fraction))
+        return [sample.id for sample in slow[: min(max_hedges, max(free_slots, 0))]]
--- a/cranberryline/samples/ledger.py
+++ b/cranberryline/samples/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of one step: which samples are to be made, run, finished, handed over, received."""
+"""State of the samples of one step: startable, running, finished or received."""
 
 import enum
 import heapq
@@ -17,73 +17,73 @@
 
 
 class FinishOutcome(enum.StrEnum):
-    """What became of a finished attempt."""
+    """Result of reporting a finished attempt to the ledger."""
 
     KEPT = "kept"
-    DUPLICATE = "duplicate"  # the identity was finished before, or the trainer has it
+    DUPLICATE = "duplicate"  # another attempt finished first, or the trainer has the sample
     UNKNOWN_ATTEMPT = "unknown_attempt"
 
 
 class StepLedger:
-    """Keep each identity of a step in one state, and compose what a pull gets.
+    """Tracks the state of each sample of a step and selects the samples that a pull returns.
 
-    Nothing here lasts. The cursor that a pull names says what its trainer has, so a ledger made
-    anew by another entry goes on from any cursor of the same declaration.
+    The state is in memory only. The cursor of each pull says what the trainer has received, so a
+    new ledger at another entry can continue from any cursor of the same declaration.
     """
 
     def __init__(self, declaration: StepDeclaration) -> None:
         self.declaration = declaration
         self._ids = declaration.ids()
         self._received = 0
-        self._idle = set(range(declaration.size))
-        self._queue = list(range(declaration.size))
+        self._startable = set(range(declaration.size))
+        self._startable_heap = list(range(declaration.size))
         self._attempts: dict[int, set[str]] = {}
         self._finished: dict[int, Sample] = {}
-        # No finished sample is older than this; it may be lower than the oldest of them.
+        # Lower bound of the weight versions of all finished samples.
         self._oldest_finished: int | None = None
-        self._handed: tuple[int, tuple[int, ...]] = (0, ())
+        self._last_batch: tuple[int, tuple[int, ...]] = (0, ())
         self._obsolete: list[str] = []
         self._discards: Counter[DiscardReason] = Counter()
 
     @property
     def complete(self) -> bool:
-        """Return whether the trainer has all samples, by the last cursor it named."""
+        """Return whether the trainer has received all samples, according to its last cursor."""
         return self._received == (1 << self.declaration.size) - 1
 
     @property
     def running(self) -> int:
-        """Count the identities that have an attempt running."""
+        """Return the number of samples with a running attempt."""
         return len(self._attempts)
 
     @property
     def ready(self) -> int:
-        """Count the finished samples that wait to be handed over or received."""
+        """Return the number of finished samples that the trainer has not confirmed."""
         return len(self._finished)
 
     def startable(self, limit: int) -> list[SampleId]:
-        """Return identities that nobody makes and nobody has, earliest groups first."""
+        """Return samples that are neither running, finished nor received, earliest groups first."""
         found: list[int] = []
-        while self._queue and len(found) < limit:
-            position = heapq.heappop(self._queue)
-            if position in self._idle and (not found or found[-1] != position):
+        while self._startable_heap and len(found) < limit:
+            position = heapq.heappop(self._startable_heap)
+            if position in self._startable and (not found or found[-1] != position):
                 found.append(position)
         for position in found:
-            heapq.heappush(self._queue, position)
+            heapq.heappush(self._startable_heap, position)
         return [self._ids[position] for position in found]
 
-    def waiting(self) -> dict[int, int]:
-        """Return how many identities of each group nobody makes and nobody has."""
-        counts = Counter(self._ids[position].group for position in self._idle)
+    def startable_counts(self) -> dict[int, int]:
+        """Return the number of startable samples per group."""
+        counts = Counter(self._ids[position].group for position in self._startable)
         return dict(sorted(counts.items()))
 
-    def startable_of(self, group: int, limit: int) -> list[SampleId]:
-        """Return identities of a group that nobody makes and nobody has."""
+    def startable_in_group(self, group: int, limit: int) -> list[SampleId]:
+        """Return up to `limit` startable samples of a group."""
         ids = (SampleId(group, index) for index in range(self.declaration.groups[group].n))
-        idle = (one for one in ids if self.declaration.position(one) in self._idle)
-        return list(itertools.islice(idle, max(limit, 0)))
+        startable = (id_ for id_ in ids if self.declaration.position(id_) in self._startable)
+        return list(itertools.islice(startable, max(limit, 0)))
 
     def hedgeable(self) -> list[SampleId]:
-        """Return identities that run and may get one more attempt."""
+        """Return running samples that have fewer than `MAX_ATTEMPTS` attempts."""
         return [
             self._ids[position]
             for position, attempts in self._attempts.items()
@@ -91,10 +91,10 @@
         ]
 
     def start(self, sample_id: SampleId, attempt: str) -> bool:
-        """Note an attempt, the first or a hedge; False when none is wanted."""
+        """Record a first attempt or a hedge; return False if no further attempt is needed."""
         position = self.declaration.position(sample_id)
-        if position in self._idle:
-            self._idle.remove(position)
+        if position in self._startable:
+            self._startable.remove(position)
             self._attempts[position] = {attempt}
             return True
         attempts = self._attempts.get(position)
@@ -106,7 +106,10 @@
     def finish(
         self, sample_id: SampleId, attempt: str, completion: Completion, score: float
     ) -> FinishOutcome:
-        """Keep the first finished attempt of an identity; later ones collapse on it."""
+        """Store the result of the first attempt that finishes; later ones are duplicates.
+
+        The other running attempts of the sample become obsolete.
+        """
         position = self.declaration.position(sample_id)
         if position in self._finished or self._received >> position & 1:
             return FinishOutcome.DUPLICATE
@@ -115,11 +118,11 @@
         others = self._attempts.pop(position) - {attempt}
         self._obsolete.extend(sorted(others))
         self._finished[position] = Sample(sample_id, completion, score)
-        self._note_version(completion.oldest_version)
+        self._update_oldest(completion.oldest_version)
         return FinishOutcome.KEPT
 
     def discard(self, sample_id: SampleId, attempt: str, reason: DiscardReason) -> None:
-        """Give up an attempt; with its last one an identity becomes startable again."""
+        """Remove a failed attempt; a sample without running attempts becomes startable again."""
         position = self.declaration.position(sample_id)
         attempts = self._attempts.get(position)
         if attempts is None or attempt not in attempts:
@@ -128,13 +131,16 @@
         attempts.remove(attempt)
         if not attempts:
             del self._attempts[position]
-            self._make_idle(position)
+            self._make_startable(position)
 
     def drop_stale(self, newest_version: int, bound: int) -> int:
-        """Drop finished samples older than the bound; their identities are made again."""
+        """Drop finished samples older than `bound` versions and make them startable again.
+
+        Returns the number of dropped samples.
+        """
         oldest = self._oldest_finished
-        # This is asked at each sample that finishes: looking through all that wait for a late
-        # trainer each time would take most of the step's processor time.
+        # This runs whenever a sample finishes. If the trainer is late, checking every finished
+        # sample each time would take most of the step's CPU time.
         if oldest is None or newest_version - oldest <= bound:
             return 0
         self._oldest_finished = None
@@ -144,83 +150,85 @@
             if newest_version - version > bound:
                 stale.append(position)
             else:
-                self._note_version(version)
+                self._update_oldest(version)
         for position in stale:
             del self._finished[position]
             self._discards[DiscardReason.STALE] += 1
-            self._make_idle(position)
+            self._make_startable(position)
         return len(stale)
 
     def resume(self, token: str) -> Result[None, CursorError]:
-        """Begin at a trainer's cursor, so that nothing it covers is made."""
-        return decode_cursor(token, self.declaration).map(self._move_to)
+        """Apply the cursor of a trainer, so that samples it covers are not generated."""
+        return decode_cursor(token, self.declaration).map(self._apply_cursor)
 
     def pull(
         self, token: str, trainer_version: int, newest_version: int, bound: int, limit: int
     ) -> Result[Batch, CursorError]:
-        """Compose what a trainer at this cursor gets, each sample fresh at this moment.
+        """Return up to `limit` samples that the cursor doesn't cover and that are not stale.
 
-        A sample that was fresh when it finished can be stale when it is pulled, so the check is
-        made here, against whichever is newer of the trainer's own version and the one in force.
+        A sample can become stale between its end and the pull, so staleness is checked again here,
+        against the newer of the trainer's version and the version in the configuration.
         """
         decoded = decode_cursor(token, self.declaration)
         if isinstance(decoded, Err):
             return decoded
         cursor = decoded.unwrap()
-        self._move_to(cursor)
+        self._apply_cursor(cursor)
         self.drop_stale(max(trainer_version, newest_version), bound)
-        positions = self._compose(cursor, limit)
-        following = cursor.with_received(positions)
+        positions = self._select_positions(cursor, limit)
+        next_cursor = cursor.with_received(positions)
         samples = tuple(self._finished[position] for position in positions)
-        # The caller's own token comes back, not one made anew: the trainer compares the texts.
-        next_token = following.encode() if positions else token
-        return Ok(Batch(token, next_token, samples, following.complete))
+        # An unchanged cursor is returned as the same token, since the trainer compares tokens as
+        # strings.
+        next_token = next_cursor.encode() if positions else token
+        return Ok(Batch(token, next_token, samples, next_cursor.complete))
 
     def take_obsolete(self) -> tuple[str, ...]:
-        """Return, once each, the attempts whose result nobody needs any more."""
+        """Return the attempts whose results are no longer needed, each one only once."""
         obsolete, self._obsolete = tuple(self._obsolete), []
         return obsolete
 
     def take_discards(self) -> Counter[DiscardReason]:
-        """Return the discards since the last call, by reason."""
+        """Return the number of discarded results per reason since the last call."""
         discards, self._discards = self._discards, Counter()
         return discards
 
-    def _compose(self, cursor: Cursor, limit: int) -> list[int]:
-        # The answer to a pull can be lost; asked again, it is the same batch, and nothing of it
-        # was reclaimed meanwhile, since only a cursor that covers a sample reclaims it.
-        handed_at, handed = self._handed
-        again = handed if handed_at == cursor.received else ()
-        positions = [position for position in again if position in self._finished][:limit]
-        if not positions or len(positions) < len(again):
+    def _select_positions(self, cursor: Cursor, limit: int) -> list[int]:
+        # The response to a pull can be lost. A repeated pull returns the same batch; its samples
+        # still exist, since a sample is removed only when a cursor covers it.
+        last_received, last_positions = self._last_batch
+        repeated = last_positions if last_received == cursor.received else ()
+        positions = [position for position in repeated if position in self._finished][:limit]
+        if not positions or len(positions) < len(repeated):
             chosen = set(positions)
             rest = [position for position in self._finished if position not in chosen]
             positions += rest[: max(limit - len(positions), 0)]
-        self._handed = (cursor.received, tuple(positions))
+        self._last_batch = (cursor.received, tuple(positions))
         return positions
 
-    def _move_to(self, cursor: Cursor) -> None:
-        """Reclaim what the cursor covers, and make again what an older cursor does not."""
+    def _apply_cursor(self, cursor: Cursor) -> None:
+        """Remove samples the cursor covers; restart those it covered before but no longer does."""
         newly = cursor.received & ~self._received
-        undone = self._received & ~cursor.received
+        revoked = self._received & ~cursor.received
         self._received = cursor.received
-        for position in _bits(newly):
-            self._idle.discard(position)
+        for position in _set_bits(newly):
+            self._startable.discard(position)
             self._finished.pop(position, None)
             self._obsolete.extend(sorted(self._attempts.pop(position, ())))
-        # A trainer that was set back to a checkpoint stands at an older cursor and has lost what
-        # came after it; kept as received, those samples would be missing for good.
-        for position in _bits(undone):
-            self._make_idle(position)
+        # A trainer restored from a checkpoint has an older cursor and has lost the samples received
+        # after it. They have to be generated again.
+        for position in _set_bits(revoked):
+            self._make_startable(position)
 
-    def _note_version(self, version: int) -> None:
+    def _update_oldest(self, version: int) -> None:
         oldest = self._oldest_finished
         self._oldest_finished = version if oldest is None else min(oldest, version)
 
-    def _make_idle(self, position: int) -> None:
-        self._idle.add(position)
-        heapq.heappush(self._queue, position)
+    def _make_startable(self, position: int) -> None:
+        self._startable.add(position)
+        heapq.heappush(self._startable_heap, position)
 
 
-def _bits(value: int) -> Iterator[int]:
+def _set_bits(value: int) -> Iterator[int]:
+    """Return the positions of the bits that are 1, lowest first."""
     return (position for position, bit in enumerate(bin(value)[:1:-1]) if bit == "1")
--- a/cranberryline/samples/model.py
+++ b/cranberryline/samples/model.py
@@ -1,4 +1,4 @@
-"""Data of samples: identities, declarations, segments and batches."""
+"""Data classes for samples: identities, declarations, segments and batches."""
 
 import hashlib
 from datetime import timedelta
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class Segment:
-    """A run of tokens that one weight version made."""
+    """Consecutive tokens generated with one weight version."""
 
     weight_version: int
     tokens: int
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class Completion:
-    """An engine's whole answer; `upstream` names the one that made it."""
+    """A complete engine response; `upstream` is the name of the upstream that generated it."""
 
     text: str
     segments: tuple[Segment, ...]
@@ -45,13 +45,13 @@
 
     @property
     def oldest_version(self) -> int:
-        """Return the oldest weight version that made a token of it."""
+        """Return the oldest weight version of all tokens."""
         return min(segment.weight_version for segment in self.segments)
 
 
 @attrs.frozen
 class Sample:
-    """A finished sample."""
+    """A finished and scored sample."""
 
     id: SampleId
     completion: Completion
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class GroupDeclaration:
-    """A prompt and how many samples of it the trainer wants."""
+    """A prompt, the number of samples to generate from it, and their maximum length in tokens."""
 
     prompt: str
     n: int
@@ -69,36 +69,39 @@
 
 @attrs.frozen
 class StepDeclaration:
-    """What a trainer wants for one step; it settles the identity of each sample beforehand."""
+    """The samples that a trainer requests for a step, which fixes the identity of each sample."""
 
     trainer: str
     step: int
     service: str
     groups: tuple[GroupDeclaration, ...]
-    _starts: tuple[int, ...] = attrs.field(init=False, eq=False, repr=False)
+    _group_offsets: tuple[int, ...] = attrs.field(init=False, eq=False, repr=False)
     digest: bytes = attrs.field(init=False, eq=False, repr=False)
 
     def __attrs_post_init__(self) -> None:
-        """Compute the positions of the groups and the digest that cursors carry."""
-        starts = tuple(accumulate((group.n for group in self.groups), initial=0))
-        object.__setattr__(self, "_starts", starts)
+        """Compute the offset of each group and the digest that cursors contain."""
+        offsets = tuple(accumulate((group.n for group in self.groups), initial=0))
+        object.__setattr__(self, "_group_offsets", offsets)
         object.__setattr__(self, "digest", self._digest())
 
     @property
     def size(self) -> int:
-        """Return the number of samples."""
-        return self._starts[-1]
+        """Return the number of samples in the step."""
+        return self._group_offsets[-1]
 
     def position(self, sample_id: SampleId) -> int:
-        """Return the place of an identity among all of its step."""
+        """Return the index of a sample among all samples of the step.
+
+        Raises ValueError if the step has no such sample.
+        """
         if not 0 <= sample_id.group < len(self.groups):
-            raise ValueError(f"no group {sample_id.group}")
+            raise ValueError(f"the step has no group {sample_id.group}")
         if not 0 <= sample_id.index < self.groups[sample_id.group].n:
-            raise ValueError(f"no index {sample_id.index} in group {sample_id.group}")
-        return self._starts[sample_id.group] + sample_id.index
+            raise ValueError(f"the step has no index {sample_id.index} in group {sample_id.group}")
+        return self._group_offsets[sample_id.group] + sample_id.index
 
     def ids(self) -> list[SampleId]:
-        """Return all identities in the order of their positions."""
+        """Return the identities of all samples, ordered by position."""
         return [
             SampleId(number, index)
             for number, group in enumerate(self.groups)
@@ -117,7 +120,7 @@
 
 @attrs.frozen
 class Batch:
-    """Samples handed over at `cursor`; a trainer that takes them moves to `next_cursor`."""
+    """Samples for a trainer at `cursor`; a trainer that accepts them continues at `next_cursor`."""
 
     cursor: str
     next_cursor: str
@@ -126,14 +129,17 @@
 
 
 def sample_name(declaration: StepDeclaration, sample_id: SampleId) -> str:
-    """Return a sample's identity as one text, for logs, scorers and trainers."""
-    place = f"{sample_id.group}/{sample_id.index}"
-    return f"{declaration.trainer}/{declaration.step}/{place}"
+    """Return the identity of a sample as a string, for logs, scorers and trainers."""
+    suffix = f"{sample_id.group}/{sample_id.index}"
+    return f"{declaration.trainer}/{declaration.step}/{suffix}"
 
 
 @attrs.frozen
 class Pull:
-    """A trainer's pull: where it stands, at which version, and how long it waits."""
+    """A trainer's request for up to `limit` samples, which waits at most `wait` for the first one.
+
+    `version` is the weight version of the trainer.
+    """
 
     cursor: str
     version: int
--- a/cranberryline/samples/pacing.py
+++ b/cranberryline/samples/pacing.py
@@ -1,4 +1,4 @@
-"""When an owner starts the samples of its trainer's steps: the rollout decision, fed from pulls."""
+"""Estimates of a trainer's progress, used to decide which samples of its steps to start."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -13,29 +13,32 @@
     StepView,
 )
 
-__all__ = ["StepWork", "TrainerPace"]
+__all__ = ["StepBacklog", "TrainerEstimates"]
 
-# Before a trainer has taken two steps: long enough that no sample is thought to outlast a step.
+# Used until a trainer has pulled two steps; longer than samples are expected to take.
 DEFAULT_STEP_TIME = timedelta(minutes=1)
-# How much the latest step counts in what is expected of the next.
-SMOOTHING = 0.3
-# New weights are on all samplers within this; a trainer that waits for samples waits no longer
-# for fresher ones. Without the bound a swap that never succeeds would stall it for good.
-WEIGHTS_EVERYWHERE = timedelta(seconds=6)
+# Weight of the latest value in exponential moving averages.
+SMOOTHING_FACTOR = 0.3
+# Time within which new weights reach all samplers. A trainer that waits for samples waits at most
+# this long for fresher ones; otherwise a swap that never succeeds would stall it forever.
+WEIGHT_PROPAGATION_TIME = timedelta(seconds=6)
 
 
 @attrs.frozen
-class StepWork:
-    """What is not started of one step, by group, and what its started samples cost in versions."""
+class StepBacklog:
+    """The samples of a step: the total, and the startable ones per group.
+
+    `versions_early` is the sum of the versions by which its started samples were early.
+    """
 
     samples: int
     versions_early: int
-    waiting: Mapping[int, int]
+    startable: Mapping[int, int]
     max_tokens: Mapping[int, int]
 
 
-class TrainerPace:
-    """Where one trainer stands, and how long its steps and samples take."""
+class TrainerEstimates:
+    """Tracks the current step of a trainer and estimates the durations of its steps and samples."""
 
     def __init__(self) -> None:
         self._step = 0
@@ -43,20 +46,20 @@
         self._pulled_at: timedelta | None = None
         self._done_at: timedelta | None = None
         self._step_version = 0
-        self._versions_a_step = 1.0
+        self._versions_per_step = 1.0
         self._step_time = DEFAULT_STEP_TIME
         self._train_time = timedelta()
         self._tokens_per_second = 0.0
-        self._length = 1.0
+        self._length_fraction = 1.0
 
     def on_pull(self, step: int, version: int, now: timedelta) -> None:
-        """Note that the trainer asks for samples of a step, at a weight version."""
+        """Record that the trainer, at a weight version, pulls samples of a step."""
         if step <= self._step and self._pulled_at is not None:
             self._version = max(self._version, version)
             return
         if self._pulled_at is not None and step == self._step + 1:
-            moved = max(0, version - self._step_version)
-            self._versions_a_step += SMOOTHING * (moved - self._versions_a_step)
+            version_change = max(0, version - self._step_version)
+            self._versions_per_step += SMOOTHING_FACTOR * (version_change - self._versions_per_step)
         self._version = max(self._version, version)
         self._step_version = self._version
         if self._done_at is not None and step == self._step + 1:
@@ -66,63 +69,72 @@
         self._step, self._pulled_at, self._done_at = step, now, None
 
     def on_done(self, step: int, now: timedelta) -> None:
-        """Note that the trainer has all samples of a step."""
+        """Record that the trainer has received all samples of a step."""
         if step == self._step and self._done_at is None:
             self._done_at = now
 
-    def on_sample(self, tokens: int, max_tokens: int, spent: timedelta) -> None:
-        """Note how long a sample took, and how much of its allowed length it used."""
-        seconds = max(spent.total_seconds(), 1e-3)
+    def on_sample(self, tokens: int, max_tokens: int, duration: timedelta) -> None:
+        """Record the duration of a sample and its length relative to `max_tokens`."""
+        seconds = max(duration.total_seconds(), 1e-3)
         rate = tokens / seconds
-        known = self._tokens_per_second or rate
-        self._tokens_per_second = known + SMOOTHING * (rate - known)
-        self._length += SMOOTHING * (tokens / max_tokens - self._length)
+        average = self._tokens_per_second or rate
+        self._tokens_per_second = average + SMOOTHING_FACTOR * (rate - average)
+        self._length_fraction += SMOOTHING_FACTOR * (tokens / max_tokens - self._length_fraction)
 
-    def allowed(
+    def samples_to_start(
         self,
         step: int,
-        work: Mapping[int, StepWork],
+        backlogs: Mapping[int, StepBacklog],
         settings: RolloutSettings,
         newest_version: int,
-        room: int,
+        free_slots: int,
         now: timedelta,
     ) -> list[tuple[int, int]]:
-        """Return (group, samples) of a step to start now, the most urgent first."""
-        if room <= 0 or not work[step].waiting:
+        """Return (group, number of samples) of a step to start now, most urgent first."""
+        if free_slots <= 0 or not backlogs[step].startable:
             return []
-        if self._waits_for(step, now):
-            return list(work[step].waiting.items())
-        view = self._view(work, newest_version, room, now)
-        starts = RolloutPolicy(settings).start(view, room)
-        named = [(start.group.split("/"), start.samples) for start in starts]
-        return [(int(group), count) for (of, group), count in named if int(of) == step]
+        if self._must_start_now(step, now):
+            return list(backlogs[step].startable.items())
+        view = self._view(backlogs, newest_version, free_slots, now)
+        starts = RolloutPolicy(settings).start(view, free_slots)
+        split_starts = [(start.group.split("/"), start.samples) for start in starts]
+        return [
+            (int(group), count)
+            for (start_step, group), count in split_starts
+            if int(start_step) == step
+        ]
 
     def versions_early(self, step: int, newest_version: int) -> int:
-        """Return how many versions old a sample started now is expected to be when taken."""
+        """Return the expected age in versions, when pulled, of a sample that is started now."""
         expected = self._version_at_pull(newest_version) + max(0, step - self._next_step())
         return max(0, expected - newest_version)
 
-    def _waits_for(self, step: int, now: timedelta) -> bool:
+    def _must_start_now(self, step: int, now: timedelta) -> bool:
+        """Return whether to start all samples of a step, whatever the rollout policy says."""
         if self._pulled_at is None:
             return True
-        waiting = step <= self._step and self._done_at is None
-        return waiting and now - self._pulled_at > WEIGHTS_EVERYWHERE
+        unfinished = step <= self._step and self._done_at is None
+        return unfinished and now - self._pulled_at > WEIGHT_PROPAGATION_TIME
 
     def _version_at_pull(self, newest_version: int) -> int:
-        """Return the version at which the trainer is expected to take its next step.
+        """Return the expected version of the trainer when it pulls its next step.
 
-        While it trains it will have moved on by then. Taken as it stands, samples started
-        meanwhile would count as fresh, and miss the bound by one version.
+        While it trains, this is later than its current version. With the current version, samples
+        started meanwhile would count as fresh and exceed the staleness bound by one version.
         """
         if self._done_at is None:
             return max(self._version, newest_version)
-        return max(self._version + round(self._versions_a_step), newest_version)
+        return max(self._version + round(self._versions_per_step), newest_version)
 
     def _next_step(self) -> int:
         return self._step if self._done_at is None else self._step + 1
 
     def _view(
-        self, work: Mapping[int, StepWork], newest_version: int, room: int, now: timedelta
+        self,
+        backlogs: Mapping[int, StepBacklog],
+        newest_version: int,
+        free_slots: int,
+        now: timedelta,
     ) -> RolloutView:
         until_pull = timedelta()
         if self._done_at is not None:
@@ -133,25 +145,28 @@
             until_pull=until_pull,
             step_time=self._step_time,
             sampler_version=newest_version,
-            free_slots=room,
+            free_slots=free_slots,
             sample_tokens_per_second=self._tokens_per_second,
             time_to_first_token=timedelta(),
-            steps={step: StepView(w.samples, w.versions_early) for step, w in work.items()},
-            waiting=self._groups(work),
+            steps={
+                step: StepView(backlog.samples, backlog.versions_early)
+                for step, backlog in backlogs.items()
+            },
+            waiting=self._groups(backlogs),
         )
 
-    def _groups(self, work: Mapping[int, StepWork]) -> list[GroupView]:
+    def _groups(self, backlogs: Mapping[int, StepBacklog]) -> list[GroupView]:
         return [
             GroupView(
                 id=f"{step}/{group}",
                 step=step,
                 samples=count,
-                expected_tokens=max(1, int(one.max_tokens[group] * self._length)),
+                expected_tokens=max(1, int(backlog.max_tokens[group] * self._length_fraction)),
             )
-            for step, one in work.items()
-            for group, count in one.waiting.items()
+            for step, backlog in backlogs.items()
+            for group, count in backlog.startable.items()
         ]
 
 
-def _smooth(known: timedelta, seen: timedelta) -> timedelta:
-    return known + SMOOTHING * (seen - known)
+def _smooth(average: timedelta, sample: timedelta) -> timedelta:
+    return average + SMOOTHING_FACTOR * (sample - average)
--- a/cranberryline/samples/ports.py
+++ b/cranberryline/samples/ports.py
@@ -1,4 +1,4 @@
-"""What the making of samples needs from the process around it."""
+"""Interfaces that the process has to implement to generate samples."""
 
 import abc
 from collections.abc import Callable, Sequence
@@ -25,7 +25,10 @@
 
 @attrs.frozen
 class SampleRequest:
-    """One attempt at one sample; `avoid` names upstreams that make the same sample already."""
+    """One attempt to generate a sample.
+
+    `avoid` are the upstreams where other attempts at the sample are running or have failed.
+    """
 
     service: str
     prompt: str
@@ -37,7 +40,7 @@
 
 @attrs.frozen
 class DispatchError:
-    """An attempt that gave no sample; `retry_after` is the refuser's own word."""
+    """A failed attempt; `retry_after` is the delay requested by whoever rejected it."""
 
     reason: DiscardReason
     detail: str = ""
@@ -45,21 +48,25 @@
 
 
 class SampleDispatch(abc.ABC):
-    """Run completions on the engines of a service."""
+    """Runs completions on the engines of a service."""
 
     @abc.abstractmethod
     async def async_complete(
         self, req: SampleRequest, on_dispatched: Callable[[str], None]
     ) -> Result[Completion, DispatchError]:
-        """Return a whole, attributed completion; cancelling the call cancels the work.
+        """Return a complete and attributed completion; cancelling the call cancels the request.
 
-        `on_dispatched` is told the upstream as soon as it is chosen, so that a hedge avoids it.
+        `on_dispatched` is called with the name of the upstream as soon as it is selected, so that a
+        hedge can avoid it.
         """
 
 
 @attrs.frozen
 class RolloutLimits:
-    """What the configuration in force says about a trainer."""
+    """Limits of a trainer in the current configuration.
+
+    `staleness_bound` is in versions; `freshness` ranges from 0 to 1 (see `RolloutSettings`).
+    """
 
     newest_version: int
     staleness_bound: int
@@ -68,26 +75,29 @@
 
 
 class RolloutConfig(abc.ABC):
-    """Look up the configuration in force."""
+    """Provides the current configuration."""
 
     @abc.abstractmethod
     def limits(self, trainer: str, service: str) -> RolloutLimits | None:
-        """Return a trainer's limits, or None when the trainer or its service is not configured."""
+        """Return the limits of a trainer, or None if it or its service is not configured."""
 
 
 @attrs.frozen
 class RunningSample:
-    """A sample in the making, as a hedging policy sees it."""
+    """A running sample, as seen by a hedging policy."""
 
     id: SampleId
     elapsed: timedelta
 
 
 class HedgePolicy(abc.ABC):
-    """Choose the stragglers that are started a second time."""
+    """Selects the stragglers to start a second time."""
 
     @abc.abstractmethod
     def pick(
-        self, running: Sequence[RunningSample], finished: Sequence[timedelta], room: int
+        self, running: Sequence[RunningSample], finished: Sequence[timedelta], free_slots: int
     ) -> list[SampleId]:
-        """Return the samples to hedge, given how long finished ones of the step took."""
+        """Return the samples to hedge, at most `free_slots`.
+
+        `finished` are the durations of the latest finished samples of the step.
+        """
--- a/cranberryline/samples/runner.py
+++ b/cranberryline/samples/runner.py
@@ -1,4 +1,4 @@
-"""Make the samples of one step: start, hedge, score, resume after failures, hand over."""
+"""Generation of the samples of one step: starts, hedges, scores, retries and delivers them."""
 
 import asyncio
 import contextlib
@@ -16,12 +16,12 @@
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.ports.model import ScorePort
 
+from .attempts import Attempt, FailedUpstreams
 from .const import ATTR_TEXT
-from .elsewhere import Attempt, TriedUpstreams
 from .errors import CursorError, DiscardReason
 from .ledger import FinishOutcome, StepLedger
 from .model import Batch, Completion, Pull, SampleId, StepDeclaration, sample_name
-from .pacing import StepWork, TrainerPace
+from .pacing import StepBacklog, TrainerEstimates
 from .ports import (
     DispatchError,
     HedgePolicy,
@@ -30,29 +30,30 @@
     SampleDispatch,
     SampleRequest,
 )
-from .scoring import async_score_patiently
+from .scoring import async_score_with_retry
 
 __all__ = ["RunnerPorts", "StepRunner"]
 
-# Failures without a success between them make the step pause this long, doubled each time.
-BACKOFF_START = timedelta(milliseconds=100)
-BACKOFF_MOST = timedelta(seconds=5)
-# How often stragglers are looked for, while there are samples in the making.
-HEDGE_INTERVAL = timedelta(milliseconds=250)
-MAX_DURATIONS = 256
-# A step that was handed over whole is kept this long for a repeated pull of its last batch.
-DONE_QUIET_AFTER = timedelta(seconds=60)
+# A step pauses after a failure; the pause doubles with each further failure without a success.
+INITIAL_BACKOFF = timedelta(milliseconds=100)
+MAX_BACKOFF = timedelta(seconds=5)
+# Interval of checks for stragglers while samples are running.
+HEDGE_CHECK_INTERVAL = timedelta(milliseconds=250)
+MAX_RECENT_DURATIONS = 256
+# Time for which a completely delivered step is kept, in case its last batch is pulled again.
+DELIVERED_STEP_TTL = timedelta(seconds=60)
 
-RETRY_HEDGE = "hedge"
-RETRY_SCORER = "scorer"
-DROP_SAMPLE = "sample_"
+# Values of metric labels.
+RETRY_REASON_HEDGE = "hedge"
+RETRY_REASON_SCORER = "scorer"
+DROP_REASON_PREFIX = "sample_"  # followed by a `FinishOutcome`
 
 _LOGGER = get_logger(__name__)
 
 
 @attrs.frozen
 class RunnerPorts:
-    """What all steps of an entry share."""
+    """Dependencies shared by all steps of an entry."""
 
     dispatch: SampleDispatch
     scorer: ScorePort
@@ -62,72 +63,75 @@
 
 
 class StepRunner:
-    """Work on one step in one task until its trainer has gone quiet."""
+    """Runs one step in its own task until its trainer has made no call for `idle_timeout`.
+
+    `on_slot_freed` is called after each attempt, so that the trainer's steps can use the slot.
+    """
 
     def __init__(
         self,
         declaration: StepDeclaration,
         ports: RunnerPorts,
         limits: Callable[[], RolloutLimits | None],
-        room: Callable[[], int],
-        pace: TrainerPace,
-        allowed: Callable[[], list[tuple[int, int]]],
-        on_freed: Callable[[], None],
-        quiet_after: timedelta,
+        free_slots: Callable[[], int],
+        estimates: TrainerEstimates,
+        samples_to_start: Callable[[], list[tuple[int, int]]],
+        on_slot_freed: Callable[[], None],
+        idle_timeout: timedelta,
     ) -> None:
         self.declaration = declaration
         self._ports = ports
         self._clock = ports.clock
         self._get_limits = limits
-        self._room = room
-        self._pace = pace
-        self._allowed = allowed
-        self._early: dict[SampleId, int] = {}
-        self._on_freed = on_freed
-        self._quiet_after = quiet_after
+        self._free_slots = free_slots
+        self._estimates = estimates
+        self._samples_to_start = samples_to_start
+        self._versions_early: dict[SampleId, int] = {}
+        self._on_slot_freed = on_slot_freed
+        self._idle_timeout = idle_timeout
         self._ledger = StepLedger(declaration)
         self._limits: RolloutLimits | None = None
         self._attempts: dict[str, Attempt] = {}
-        self._tried = TriedUpstreams()
-        # Two entries can make the same sample at once; an engine that is told to stop one attempt
-        # must not stop the other's, so names are never shared.
-        self._life = uuid.uuid4().hex[:8]
-        self._numbers = itertools.count(1)
-        self._durations: deque[timedelta] = deque(maxlen=MAX_DURATIONS)
+        self._failed_upstreams = FailedUpstreams()
+        # Makes attempt names unique across entries. Two entries can generate the same sample at
+        # once, and cancelling the attempt of one must not cancel that of the other.
+        self._runner_id = uuid.uuid4().hex[:8]
+        self._attempt_numbers = itertools.count(1)
+        self._durations: deque[timedelta] = deque(maxlen=MAX_RECENT_DURATIONS)
         self._failures = 0
         self._failed_at = timedelta(microseconds=-1)
-        self._not_before = timedelta()
+        self._paused_until = timedelta()
         self._trainer_version = 0
-        self._checked = (0, 0)
+        self._stale_checked_for = (0, 0)
         self._pulls = 0
         self._closing = False
-        self._handed_all = False
-        self._called_at = self._clock.monotonic()
-        self._changed = asyncio.Event()
-        self._ready = asyncio.Event()
+        self._all_delivered = False
+        self._last_call_at = self._clock.monotonic()
+        self._wake_event = asyncio.Event()
+        self._sample_ready = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
     @property
     def running(self) -> int:
-        """Count the attempts in the making."""
+        """Return the number of running attempts."""
         return len(self._attempts)
 
     @property
-    def work(self) -> StepWork:
-        """Return what is not started, and what the started samples cost in versions."""
-        waiting = self._ledger.waiting()
+    def backlog(self) -> StepBacklog:
+        """Return the startable samples, and by how many versions the started ones were early."""
+        startable = self._ledger.startable_counts()
         groups = self.declaration.groups
-        return StepWork(
+        return StepBacklog(
             samples=self.declaration.size,
-            versions_early=sum(self._early.values()),
-            waiting=waiting,
-            max_tokens={group: groups[group].max_tokens for group in waiting},
+            versions_early=sum(self._versions_early.values()),
+            startable=startable,
+            max_tokens={group: groups[group].max_tokens for group in startable},
         )
 
     @property
-    def pause(self) -> timedelta:
-        """Return how long the step still waits after a failure before it starts anything."""
-        return max(self._not_before - self._clock.monotonic(), timedelta())
+    def remaining_pause(self) -> timedelta:
+        """Return the time until the step starts attempts again after a failure."""
+        return max(self._paused_until - self._clock.monotonic(), timedelta())
 
     @property
     def closed(self) -> bool:
@@ -135,58 +139,58 @@
         return self._task is not None and self._task.done()
 
     def resume(self, cursor: str) -> Result[None, CursorError]:
-        """Take in, before the start, where the trainer stands."""
+        """Apply the cursor of a trainer that continues a step; has to be called before `start`."""
         return self._ledger.resume(cursor)
 
     def start(self) -> None:
-        """Begin to make samples."""
-        self._task = asyncio.get_running_loop().create_task(self._async_work())
+        """Start generating samples."""
+        self._task = asyncio.get_running_loop().create_task(self._async_run())
 
     def wake(self) -> None:
-        """Look again: room, limits or the ledger may have changed."""
-        self._changed.set()
+        """Check again for work, since free slots, limits or the ledger may have changed."""
+        self._wake_event.set()
 
-    def touch(self, quiet_after: timedelta) -> None:
-        """Note a call of the trainer, and how long to go on without another."""
-        self._called_at = self._clock.monotonic()
-        self._quiet_after = quiet_after
+    def touch(self, idle_timeout: timedelta) -> None:
+        """Restart the idle timeout after a call from the trainer."""
+        self._last_call_at = self._clock.monotonic()
+        self._idle_timeout = idle_timeout
         self.wake()
 
     async def async_pull(self, pull: Pull) -> Result[Batch, CursorError]:
-        """Return what the trainer gets; wait for the first sample as long as the pull allows."""
+        """Return a batch of samples, waiting for the first one for as long as the pull allows."""
         self._pulls += 1
         self._trainer_version = pull.version
-        self._pace.on_pull(self.declaration.step, pull.version, self._clock.monotonic())
-        give_up_at = self._clock.monotonic() + pull.wait
+        self._estimates.on_pull(self.declaration.step, pull.version, self._clock.monotonic())
+        wait_until = self._clock.monotonic() + pull.wait
         try:
             while True:
-                result = self._compose(pull)
-                left = give_up_at - self._clock.monotonic()
+                result = self._pull_from_ledger(pull)
+                left = wait_until - self._clock.monotonic()
                 if isinstance(result, Err) or left <= timedelta():
                     return result
                 batch = result.unwrap()
-                self._handed_all = batch.done
+                self._all_delivered = batch.done
                 if batch.samples or batch.done or self._closing:
-                    self._count_handed_over(len(batch.samples))
+                    self._count_delivered(len(batch.samples))
                     return result
-                await self._async_wait(self._ready, left)
+                await self._async_wait(self._sample_ready, left)
         finally:
             self._pulls -= 1
-            self._called_at = self._clock.monotonic()
+            self._last_call_at = self._clock.monotonic()
 
     async def async_close(self) -> None:
-        """Stop the task, cancel what is in the making and answer the pulls that wait."""
+        """Stop the task, cancel the running attempts and answer the waiting pulls."""
         self._closing = True
-        self._ready.set()
+        self._sample_ready.set()
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    def _count_handed_over(self, count: int) -> None:
+    def _count_delivered(self, count: int) -> None:
         self._ports.metrics.samples.labels(self.declaration.trainer).inc(count)
 
-    def _compose(self, pull: Pull) -> Result[Batch, CursorError]:
-        self._ready.clear()
+    def _pull_from_ledger(self, pull: Pull) -> Result[Batch, CursorError]:
+        self._sample_ready.clear()
         limits = self._read_limits()
         result = self._ledger.pull(
             pull.cursor, pull.version, limits.newest_version, limits.staleness_bound, pull.limit
@@ -195,23 +199,24 @@
         return result
 
     def _read_limits(self) -> RolloutLimits:
-        """Return the limits in force; the last known ones when the record was deleted."""
+        """Return the current limits, or the last known ones if their record was deleted."""
         self._limits = self._get_limits() or self._limits or RolloutLimits(0, 0, 0)
         return self._limits
 
-    async def _async_work(self) -> None:
+    async def _async_run(self) -> None:
         try:
-            while not self._is_quiet():
-                self._changed.clear()
-                self._look()
-                await self._async_wait(self._changed, self._next_look())
+            while not self._is_idle():
+                self._wake_event.clear()
+                self._reconcile()
+                await self._async_wait(self._wake_event, self._next_check_delay())
         finally:
             tasks = [attempt.task for attempt in self._attempts.values()]
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _look(self) -> None:
+    def _reconcile(self) -> None:
+        """Drop stale samples, cancel obsolete attempts, and start or hedge samples."""
         limits = self._read_limits()
         self._drop_stale(max(limits.newest_version, self._trainer_version), limits.staleness_bound)
         for attempt in self._ledger.take_obsolete():
@@ -219,21 +224,21 @@
                 self._attempts[attempt].task.cancel()
         for reason, count in self._ledger.take_discards().items():
             self._ports.metrics.discards.labels(reason.value).inc(count)
-        if self._clock.monotonic() < self._not_before:
+        if self._clock.monotonic() < self._paused_until:
             return
-        for group, count in self._allowed():
-            for sample_id in self._ledger.startable_of(group, min(count, self._room())):
-                self._begin(sample_id)
+        for group, count in self._samples_to_start():
+            for sample_id in self._ledger.startable_in_group(group, min(count, self._free_slots())):
+                self._start_attempt(sample_id)
         if not self._ledger.startable(1):
-            self._hedge()
+            self._hedge_stragglers()
 
     def _drop_stale(self, newest: int, bound: int) -> None:
-        """Drop what a new version or bound has made stale; nothing stale is kept at its finish."""
-        if (newest, bound) != self._checked:
-            self._checked = (newest, bound)
+        """Drop samples made stale by a new version or bound; results stale before aren't stored."""
+        if (newest, bound) != self._stale_checked_for:
+            self._stale_checked_for = (newest, bound)
             self._ledger.drop_stale(newest, bound)
 
-    def _hedge(self) -> None:
+    def _hedge_stragglers(self) -> None:
         now = self._clock.monotonic()
         hedgeable = set(self._ledger.hedgeable())
         running = [
@@ -241,34 +246,36 @@
             for attempt in self._attempts.values()
             if attempt.sample_id in hedgeable and not attempt.scoring
         ]
-        for sample_id in self._ports.hedging.pick(running, self._durations, self._room()):
-            self._ports.metrics.retry(RETRY_HEDGE)
-            self._begin(sample_id)
-
-    def _begin(self, sample_id: SampleId) -> None:
-        avoid = self._tried.avoid(sample_id, self._attempts.values())
-        serial = f"{self._life}.{next(self._numbers)}"
-        name = f"{sample_name(self.declaration, sample_id)}#{serial}"
+        for sample_id in self._ports.hedging.pick(running, self._durations, self._free_slots()):
+            self._ports.metrics.retry(RETRY_REASON_HEDGE)
+            self._start_attempt(sample_id)
+
+    def _start_attempt(self, sample_id: SampleId) -> None:
+        avoid = self._failed_upstreams.excluded_for(sample_id, self._attempts.values())
+        attempt_number = f"{self._runner_id}.{next(self._attempt_numbers)}"
+        name = f"{sample_name(self.declaration, sample_id)}#{attempt_number}"
         if not self._ledger.start(sample_id, name):
             return
         task = asyncio.get_running_loop().create_task(self._async_attempt(sample_id, name, avoid))
         self._attempts[name] = Attempt(sample_id, self._clock.monotonic(), task)
         newest = self._read_limits().newest_version
-        self._early[sample_id] = self._pace.versions_early(self.declaration.step, newest)
-        task.add_done_callback(lambda done: self._end(name, done))
+        self._versions_early[sample_id] = self._estimates.versions_early(
+            self.declaration.step, newest
+        )
+        task.add_done_callback(lambda done: self._on_attempt_done(name, done))
 
-    def _end(self, name: str, task: asyncio.Task[None]) -> None:
+    def _on_attempt_done(self, name: str, task: asyncio.Task[None]) -> None:
         attempt = self._attempts.pop(name)
         if task.cancelled() or task.exception() is not None:
             if not task.cancelled():
                 _LOGGER.error("sample_attempt_broke", sample_id=name, error=repr(task.exception()))
-                self._tried.note_failed(attempt)
-            # Without this a cancelled or broken attempt would hold its identity for ever.
+                self._failed_upstreams.record_failure(attempt)
+            # Otherwise the sample would count as running forever.
             self._ledger.discard(attempt.sample_id, name, DiscardReason.FAILED)
-        # Not `wake` first: the table wakes the trainer's steps in order, so that the room goes to
-        # the one it waits for. Looked at first, a later step would take each place as it is freed
-        # and leave none for the hedge or the repetition that the earlier one needs.
-        self._on_freed()
+        # The table wakes the trainer's steps in order, so that the step it waits for gets the slot.
+        # If this step woke itself first, a later step would take each slot that becomes free and
+        # leave none for the hedges and retries of an earlier one.
+        self._on_slot_freed()
 
     async def _async_attempt(self, sample_id: SampleId, name: str, avoid: frozenset[str]) -> None:
         group = self.declaration.groups[sample_id.group]
@@ -284,17 +291,17 @@
             req, lambda upstream: self._note_upstream(name, upstream)
         )
         if isinstance(result, Err):
-            self._fail(sample_id, name, result.unwrap_err())
+            self._handle_failure(sample_id, name, result.unwrap_err())
             return
         completion = result.unwrap()
         if self._is_stale(completion):
-            self._fail(sample_id, name, DispatchError(DiscardReason.STALE))
+            self._handle_failure(sample_id, name, DispatchError(DiscardReason.STALE))
             return
         score = await self._async_score(req, name, completion)
         if score is None:
-            self._fail(sample_id, name, DispatchError(DiscardReason.STALE))
+            self._handle_failure(sample_id, name, DispatchError(DiscardReason.STALE))
             return
-        self._keep(sample_id, name, completion, score)
+        self._record_result(sample_id, name, completion, score)
 
     def _note_upstream(self, name: str, upstream: str) -> None:
         if name in self._attempts:
@@ -303,39 +310,43 @@
     async def _async_score(
         self, req: SampleRequest, name: str, completion: Completion
     ) -> float | None:
-        """Score a completion, however long the scorer is out; None when it became stale."""
+        """Return the score, retrying until the scorer succeeds; None if the sample goes stale."""
         self._attempts[name].scoring = True
         sample = {ATTR_TEXT: completion.text, "identity": req.sample_id}
-        return await async_score_patiently(
+        return await async_score_with_retry(
             self._ports.scorer,
             sample,
             self._clock,
-            on_retry=lambda: self._ports.metrics.retry(RETRY_SCORER),
-            wanted=lambda: not self._is_stale(completion),
+            on_retry=lambda: self._ports.metrics.retry(RETRY_REASON_SCORER),
+            is_needed=lambda: not self._is_stale(completion),
         )
 
-    def _keep(self, sample_id: SampleId, name: str, completion: Completion, score: float) -> None:
+    def _record_result(
+        self, sample_id: SampleId, name: str, completion: Completion, score: float
+    ) -> None:
         outcome = self._ledger.finish(sample_id, name, completion, score)
         if outcome is not FinishOutcome.KEPT:
-            self._ports.metrics.drop(DROP_SAMPLE + outcome.value)
+            self._ports.metrics.drop(DROP_REASON_PREFIX + outcome.value)
             return
-        self._tried.forget(sample_id)
-        spent = self._clock.monotonic() - self._attempts[name].started
-        self._durations.append(spent)
+        self._failed_upstreams.remove(sample_id)
+        duration = self._clock.monotonic() - self._attempts[name].started
+        self._durations.append(duration)
         tokens = sum(segment.tokens for segment in completion.segments)
-        self._pace.on_sample(tokens, self.declaration.groups[sample_id.group].max_tokens, spent)
+        self._estimates.on_sample(
+            tokens, self.declaration.groups[sample_id.group].max_tokens, duration
+        )
         self._failures = 0
-        self._ready.set()
+        self._sample_ready.set()
 
-    def _fail(self, sample_id: SampleId, name: str, error: DispatchError) -> None:
-        """Give up an attempt and pause the step: at once again would find the same fault.
+    def _handle_failure(self, sample_id: SampleId, name: str, error: DispatchError) -> None:
+        """Discard an attempt and pause the step, as an immediate retry is likely to fail too.
 
-        One engine that crashes fails all that ran on it. Counted one by one, fifteen attempts
-        would take the pause to its longest and stall the trainer after a fault that is over, so
-        an attempt that was begun before the last failure that counted pauses nothing again.
+        When an engine crashes, all its attempts fail. If each one doubled the back-off, fifteen
+        would raise it to the maximum and stall the trainer after the fault is over. So an attempt
+        started before the last counted failure does not count.
         """
         self._ledger.discard(sample_id, name, error.reason)
-        self._tried.note_failed(self._attempts[name])
+        self._failed_upstreams.record_failure(self._attempts[name])
         _LOGGER.debug(
             "sample_failed",
             sample_id=name,
@@ -345,41 +356,41 @@
         )
         self._ports.metrics.retry(error.reason.value)
         now = self._clock.monotonic()
-        # A refuser's word counts, up to the longest pause: an entry that has just started may name
-        # a minute, and the trainer would stand idle beside engines that are free by then.
-        pause = min(error.retry_after or timedelta(), BACKOFF_MOST)
+        # Retry-After is honoured only up to the maximum back-off: an entry that has just started
+        # may send a minute, and the trainer would be idle although engines are free much earlier.
+        pause = min(error.retry_after or timedelta(), MAX_BACKOFF)
         if self._attempts[name].started > self._failed_at:
-            backoff = min(BACKOFF_START * 2 ** min(self._failures, 10), BACKOFF_MOST)
+            backoff = min(INITIAL_BACKOFF * 2 ** min(self._failures, 10), MAX_BACKOFF)
             pause = max(pause, backoff)
             self._failures += 1
             self._failed_at = now
-        self._not_before = max(self._not_before, now + pause)
+        self._paused_until = max(self._paused_until, now + pause)
 
     def _is_stale(self, completion: Completion) -> bool:
         limits = self._read_limits()
         newest = max(limits.newest_version, self._trainer_version)
         return newest - completion.oldest_version > limits.staleness_bound
 
-    def _is_quiet(self) -> bool:
-        return not self._pulls and self._quiet_left() <= timedelta()
-
-    def _quiet_left(self) -> timedelta:
-        # A trainer that took the last batch of a step does not call for it again, so no cursor
-        # ever covers that batch. Kept as long as a step in the making, the steps of a quick
-        # trainer would fill the memory; one that lost the answer is back within seconds.
-        quiet_after = self._quiet_after
-        if self._handed_all:
-            quiet_after = min(quiet_after, DONE_QUIET_AFTER)
-        return self._called_at + quiet_after - self._clock.monotonic()
-
-    def _next_look(self) -> timedelta:
-        """Return how long nothing can happen by itself; a finished step waits for its trainer."""
-        waits = [max(self._quiet_left(), HEDGE_INTERVAL)]
+    def _is_idle(self) -> bool:
+        return not self._pulls and self._idle_time_left() <= timedelta()
+
+    def _idle_time_left(self) -> timedelta:
+        # After the last batch, a trainer makes no further call for the step, so no cursor ever
+        # covers that batch. With the full idle timeout, the steps of a fast trainer would use up
+        # the memory; a trainer that lost the response asks again within seconds.
+        idle_timeout = self._idle_timeout
+        if self._all_delivered:
+            idle_timeout = min(idle_timeout, DELIVERED_STEP_TTL)
+        return self._last_call_at + idle_timeout - self._clock.monotonic()
+
+    def _next_check_delay(self) -> timedelta:
+        """Return the time until the next check is needed without an event."""
+        waits = [max(self._idle_time_left(), HEDGE_CHECK_INTERVAL)]
         if self._attempts:
-            waits.append(HEDGE_INTERVAL)
-        paused = self._not_before - self._clock.monotonic()
-        if paused > timedelta() and self._ledger.startable(1):
-            waits.append(paused)
+            waits.append(HEDGE_CHECK_INTERVAL)
+        pause_left = self._paused_until - self._clock.monotonic()
+        if pause_left > timedelta() and self._ledger.startable(1):
+            waits.append(pause_left)
         return min(waits)
 
     @staticmethod
--- a/cranberryline/samples/scoring.py
+++ b/cranberryline/samples/scoring.py
@@ -1,4 +1,4 @@
-"""Score a finished sample, waiting for a scorer that is out."""
+"""Scoring of finished samples, with retries while the scorer is unavailable."""
 
 import math
 from collections.abc import Callable
@@ -10,31 +10,31 @@
 from cranberryline.helpers.clock import Clock
 from cranberryline.ports.model import ScorePort
 
-__all__ = ["async_score_patiently"]
+__all__ = ["async_score_with_retry"]
 
-PAUSE_START = timedelta(milliseconds=100)
-PAUSE_MOST = timedelta(seconds=5)
+INITIAL_RETRY_DELAY = timedelta(milliseconds=100)
+MAX_RETRY_DELAY = timedelta(seconds=5)
 
 
-async def async_score_patiently(
+async def async_score_with_retry(
     scorer: ScorePort,
     sample: dict[str, Any],
     clock: Clock,
     on_retry: Callable[[], None],
-    wanted: Callable[[], bool],
+    is_needed: Callable[[], bool],
 ) -> float | None:
-    """Return a finite score, asking again as long as the sample is wanted; None when it is not.
+    """Return a finite score, retrying with exponential back-off while `is_needed` returns True.
 
-    The tokens are made and paid for, so the sample waits instead of being made again. Its attempt
-    keeps its place among those in flight, which also keeps a step from making more than the scorer
-    can take.
+    Returns None once the sample is not needed. Retrying is cheaper than generating the tokens
+    again. The attempt still counts as in flight meanwhile, so a step does not generate more samples
+    than the scorer can process.
     """
-    pause = PAUSE_START
-    while wanted():
+    delay = INITIAL_RETRY_DELAY
+    while is_needed():
         result = await scorer.async_score(sample)
         if isinstance(result, Ok) and math.isfinite(result.unwrap()):
             return result.unwrap()
         on_retry()
-        await clock.async_sleep(pause)
-        pause = min(pause * 2, PAUSE_MOST)
+        await clock.async_sleep(delay)
+        delay = min(delay * 2, MAX_RETRY_DELAY)
     return None
--- a/cranberryline/samples/table.py
+++ b/cranberryline/samples/table.py
@@ -1,4 +1,4 @@
-"""The steps that an entry works on."""
+"""The steps that an entry is running."""
 
 import asyncio
 from datetime import timedelta
@@ -7,10 +7,10 @@
 
 from cranberryline.decisions import RolloutSettings
 
-from .const import CURSOR_START, DEFAULT_QUIET_AFTER, MAX_STEPS, NOT_OWNER_QUIET_AFTER
+from .const import CURSOR_START, DEFAULT_IDLE_TIMEOUT, MAX_STEPS, NON_OWNER_IDLE_TIMEOUT
 from .errors import CursorError, StepRefusal
 from .model import StepDeclaration
-from .pacing import TrainerPace
+from .pacing import TrainerEstimates
 from .ports import RolloutConfig
 from .runner import RunnerPorts, StepRunner
 
@@ -18,32 +18,34 @@
 
 
 class StepTable:
-    """Keep one runner for each declared step; in-flight work is bounded for each trainer."""
+    """Manages one runner per declared step, and limits the samples in flight per trainer."""
 
     def __init__(
         self,
         ports: RunnerPorts,
         config: RolloutConfig,
-        quiet_after: timedelta = DEFAULT_QUIET_AFTER,
+        idle_timeout: timedelta = DEFAULT_IDLE_TIMEOUT,
     ) -> None:
         self._ports = ports
         self._config = config
-        self._quiet_after = quiet_after
+        self._idle_timeout = idle_timeout
         self._runners: dict[tuple[str, int], StepRunner] = {}
-        self._paces: dict[str, TrainerPace] = {}
+        self._estimates: dict[str, TrainerEstimates] = {}
         self.closed = False
 
     def declare(
         self, declaration: StepDeclaration, owner: bool, cursor: str = CURSOR_START
     ) -> Result[StepRunner, StepRefusal | CursorError]:
-        """Begin a step; declared again it is the same one, and with other groups refused.
+        """Start a step, or return its runner if the same declaration was made before.
 
-        A step that another entry worked on before begins at the trainer's cursor: without it, all
-        that the trainer has already would be made once more before its next pull tells.
+        A different declaration of the same step is rejected. `owner` says whether this entry owns
+        the trainer. `cursor` is the cursor of a trainer that continues a step of another entry;
+        without it, samples that the trainer has already received would be generated again until its
+        next pull.
         """
         if self.closed:
             return Err(StepRefusal.STOPPING)
-        self._forget_closed()
+        self._remove_closed()
         key = (declaration.trainer, declaration.step)
         runner = self._runners.get(key)
         if runner is None:
@@ -57,37 +59,38 @@
             runner.start()
         elif runner.declaration != declaration:
             return Err(StepRefusal.STEP_DIFFERS)
-        runner.touch(self._quiet(owner))
+        runner.touch(self._idle_timeout_for(owner))
         return Ok(runner)
 
     def find(self, trainer: str, step: int, owner: bool) -> StepRunner | None:
-        """Return a step's runner and note that its trainer called; None when it is not known."""
+        """Return the runner of a step and reset its idle timeout; None if the step is unknown."""
         runner = self._runners.get((trainer, step))
         if runner is None or runner.closed:
             return None
-        runner.touch(self._quiet(owner))
+        runner.touch(self._idle_timeout_for(owner))
         return runner
 
     def wake(self) -> None:
-        """Let all steps look at the configuration in force again."""
+        """Make all steps apply the current configuration."""
         for runner in self._runners.values():
             runner.wake()
 
     async def async_close(self) -> None:
-        """Stop all steps, and begin none any more.
+        """Stop all steps and reject new ones.
 
-        Trainers go on calling, by way of entries whose VM list still shows this one. A step that began anew
-        would make samples to the end of the stop, and the requests of callers would be cut with them.
+        Trainers continue to call through entries whose VM list still contains this one. A new step
+        would generate samples until the end of the shutdown, which would then cut off the requests
+        of callers too.
         """
         self.closed = True
         runners = list(self._runners.values())
         self._runners.clear()
         await asyncio.gather(*(runner.async_close() for runner in runners))
 
-    def _quiet(self, owner: bool) -> timedelta:
-        # An entry that serves a step only because its owner could not be reached makes samples
-        # that the owner makes too; it stops soon after the trainer is back at the owner.
-        return self._quiet_after if owner else min(NOT_OWNER_QUIET_AFTER, self._quiet_after)
+    def _idle_timeout_for(self, owner: bool) -> timedelta:
+        # An entry that serves a step because the owner was unreachable generates the same samples
+        # as the owner, so it stops soon after the trainer returns to the owner.
+        return self._idle_timeout if owner else min(NON_OWNER_IDLE_TIMEOUT, self._idle_timeout)
 
     def _new_runner(self, declaration: StepDeclaration) -> StepRunner:
         trainer, service = declaration.trainer, declaration.service
@@ -95,41 +98,46 @@
             declaration,
             self._ports,
             limits=lambda: self._config.limits(trainer, service),
-            room=lambda: self._room(trainer, service),
-            pace=self._paces.setdefault(trainer, TrainerPace()),
-            allowed=lambda: self._allowed(declaration),
-            on_freed=lambda: self._wake_trainer(trainer),
-            quiet_after=self._quiet_after,
+            free_slots=lambda: self._free_slots(trainer, service),
+            estimates=self._estimates.setdefault(trainer, TrainerEstimates()),
+            samples_to_start=lambda: self._samples_to_start(declaration),
+            on_slot_freed=lambda: self._wake_trainer(trainer),
+            idle_timeout=self._idle_timeout,
         )
 
-    def _room(self, trainer: str, service: str) -> int:
+    def _free_slots(self, trainer: str, service: str) -> int:
         limits = self._config.limits(trainer, service)
         if limits is None:
             return 0
-        running = sum(r.running for (name, _), r in self._runners.items() if name == trainer)
+        running = sum(
+            runner.running for (name, _), runner in self._runners.items() if name == trainer
+        )
         return limits.max_in_flight - running
 
-    def _allowed(self, declaration: StepDeclaration) -> list[tuple[int, int]]:
-        """Return (group, samples) of a step to start now, by all that its trainer has declared."""
+    def _samples_to_start(self, declaration: StepDeclaration) -> list[tuple[int, int]]:
+        """Return (group, number of samples) of a step to start now.
+
+        All steps that the trainer has declared are taken into account.
+        """
         trainer, service = declaration.trainer, declaration.service
         limits = self._config.limits(trainer, service)
         if limits is None:
             return []
-        room = self._room(trainer, service)
-        if room <= 0:
+        free_slots = self._free_slots(trainer, service)
+        if free_slots <= 0:
             return []
-        work = {
-            step: runner.work
+        backlogs = {
+            step: runner.backlog
             for (name, step), runner in self._runners.items()
             if name == trainer and not runner.closed
         }
         settings = RolloutSettings(limits.freshness, limits.staleness_bound)
-        return self._paces[trainer].allowed(
+        return self._estimates[trainer].samples_to_start(
             declaration.step,
-            work,
+            backlogs,
             settings,
             limits.newest_version,
-            room,
+            free_slots,
             self._ports.clock.monotonic(),
         )
 
@@ -138,9 +146,9 @@
             if name == trainer:
                 runner.wake()
 
-    def _forget_closed(self) -> None:
+    def _remove_closed(self) -> None:
         for key in [key for key, runner in self._runners.items() if runner.closed]:
             del self._runners[key]
         trainers = {trainer for trainer, _ in self._runners}
-        for trainer in [name for name in self._paces if name not in trainers]:
-            del self._paces[trainer]
+        for trainer in [name for name in self._estimates if name not in trainers]:
+            del self._estimates[trainer]
--- a/tests/samples/conftest.py
+++ b/tests/samples/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests about samples."""
+"""Fixtures for the tests of samples."""
 
 from collections.abc import Callable
 
@@ -15,25 +15,25 @@
 
 @pytest.fixture
 def dispatch() -> FakeDispatch:
-    """Return engines that work."""
+    """Return fake engines that succeed."""
     return FakeDispatch()
 
 
 @pytest.fixture
 def scorer() -> FakeScorer:
-    """Return a scorer that works."""
+    """Return a fake scorer that succeeds."""
     return FakeScorer()
 
 
 @pytest.fixture
 def config() -> FakeConfig:
-    """Return a configuration in force."""
+    """Return a fake configuration."""
     return FakeConfig()
 
 
 @pytest.fixture
 def metrics() -> Metrics:
-    """Return the counters of one process."""
+    """Return the metrics of one process."""
     return Metrics()
 
 
@@ -41,7 +41,7 @@
 def make_table(
     dispatch: FakeDispatch, scorer: FakeScorer, config: FakeConfig, metrics: Metrics
 ) -> Callable[[], StepTable]:
-    """Return a function that makes an entry's table of steps, on the running loop."""
+    """Return a function that creates the step table of an entry, to be called in a running loop."""
 
     def make() -> StepTable:
         ports = RunnerPorts(dispatch, scorer, SlowestFirst(), metrics, SystemClock())
--- a/tests/samples/sample_fakes.py
+++ b/tests/samples/sample_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of what a step's runner works with."""
+"""Fakes of the dependencies of a step runner."""
 
 import asyncio
 from collections import Counter
@@ -19,11 +19,11 @@
     SampleRequest,
 )
 
-__all__ = ["FakeConfig", "FakeDispatch", "FakeScorer", "UnlikeEngines"]
+__all__ = ["FakeConfig", "FakeDispatch", "FakeScorer", "OrderedEngines"]
 
 
 class FakeDispatch(SampleDispatch):
-    """Engines that serve `version`; samples named in `held` do not end until released."""
+    """Engines that serve `version`; the first attempt at a sample in `held` waits for its event."""
 
     def __init__(self) -> None:
         self.version = 5
@@ -34,18 +34,18 @@
         self.avoided: list[frozenset[str]] = []
         self.pause_s = 0.0
         self.running = 0
-        self.most_running = 0
+        self.max_running = 0
 
     async def async_complete(
         self, req: SampleRequest, on_dispatched: Callable[[str], None]
     ) -> Result[Completion, DispatchError]:
-        """Make one sample."""
+        """Generate one sample."""
         self.started[req.sample_id] += 1
         self.avoided.append(req.avoid)
         upstream = f"u{self.started[req.sample_id]}"
         on_dispatched(upstream)
         self.running += 1
-        self.most_running = max(self.running, self.most_running)
+        self.max_running = max(self.running, self.max_running)
         try:
             version = self.version
             if self.started[req.sample_id] == 1 and req.sample_id in self.held:
@@ -59,10 +59,10 @@
         return Ok(Completion(text, (Segment(version, 3),), upstream))
 
 
-class UnlikeEngines(SampleDispatch):
-    """Engines that are chosen in this order, as by a prompt's prefix; `broken` name no version.
+class OrderedEngines(SampleDispatch):
+    """Engines selected in a fixed order, as with prefix affinity; `broken` ones omit the version.
 
-    As in an entry's lane, the first is chosen all the same where every engine is to be avoided.
+    As in an entry's dispatch queue, the first one is selected if every engine is to be avoided.
     """
 
     def __init__(self, engines: list[str]) -> None:
@@ -73,7 +73,7 @@
     async def async_complete(
         self, req: SampleRequest, on_dispatched: Callable[[str], None]
     ) -> Result[Completion, DispatchError]:
-        """Make one sample in half a second."""
+        """Generate one sample in half a second."""
         allowed = [engine for engine in self.engines if engine not in req.avoid]
         upstream = (allowed or self.engines)[0]
         self.tried.setdefault(req.sample_id, []).append(upstream)
@@ -85,7 +85,7 @@
 
 
 class FakeScorer(ScorePort):
-    """Score 1, unless it is out or answers nonsense."""
+    """Returns a score of 1; fails `failures` times first, or returns NaN if that is negative."""
 
     def __init__(self) -> None:
         self.failures = 0
@@ -105,11 +105,11 @@
 
 
 class FakeConfig(RolloutConfig):
-    """One trainer `t` and one service `s`."""
+    """Configuration with one trainer `t` and one service `s`."""
 
     def __init__(self) -> None:
-        self.in_force = RolloutLimits(5, staleness_bound=1, max_in_flight=4, freshness=0.0)
+        self.current_limits = RolloutLimits(5, staleness_bound=1, max_in_flight=4, freshness=0.0)
 
     def limits(self, trainer: str, service: str) -> RolloutLimits | None:
-        """Return the limits in force."""
-        return self.in_force if (trainer, service) == ("t", "s") else None
+        """Return the current limits."""
+        return self.current_limits if (trainer, service) == ("t", "s") else None
--- a/tests/samples/test_attribution.py
+++ b/tests/samples/test_attribution.py
@@ -1,4 +1,4 @@
-"""Attribution: versions are the engine's own word, or the sample is discarded."""
+"""Tests of parsing engine responses and attributing their tokens to weight versions."""
 
 import json
 from typing import Any
@@ -26,14 +26,14 @@
 
 
 def read(body: str | bytes) -> Any:
-    """Return what a whole body comes to."""
+    """Return the result of parsing a whole body."""
     stream = CompletionStream()
     stream.feed(body.encode() if isinstance(body, str) else body)
     return stream.finish("u")
 
 
-def test_sample_across_a_swap_names_both_versions() -> None:
-    """Runs of one version become one segment, in order."""
+def test_sample_generated_during_a_swap_has_a_segment_per_version() -> None:
+    """Consecutive events with the same version are merged into one segment, in order."""
     body = event("a", 4, 2) + event("b", 4, 3) + event("c", 5, 1, "stop") + DONE
     expected = Completion("abc", (Segment(4, 5), Segment(5, 1)), "u")
     assert read(body).unwrap() == expected
@@ -53,9 +53,9 @@
         (event("a", 4, -3, "stop") + DONE, DiscardReason.TOKENS_INVALID),
         (event("a", 4, None, "stop") + DONE, DiscardReason.TOKENS_INVALID),
         (event("", None, 0, "stop") + DONE, DiscardReason.VERSION_MISSING),
-        (event("a", 4, 1, "stop"), DiscardReason.CUT),
-        (event("a", 4, 1) + DONE, DiscardReason.CUT),
-        ("", DiscardReason.CUT),
+        (event("a", 4, 1, "stop"), DiscardReason.TRUNCATED),
+        (event("a", 4, 1) + DONE, DiscardReason.TRUNCATED),
+        ("", DiscardReason.TRUNCATED),
         ("data: {\n\n" + DONE, DiscardReason.MALFORMED),
         ("data: []\n\n" + DONE, DiscardReason.MALFORMED),
         ('data: {"choices": []}\n\n' + DONE, DiscardReason.MALFORMED),
@@ -63,13 +63,13 @@
         (event("a", 4, 1, "stop") + DONE + event("b", 4, 1), DiscardReason.MALFORMED),
     ],
 )
-def test_what_cannot_be_attributed_is_discarded(body: str, reason: DiscardReason) -> None:
-    """Each fault has its own reason."""
+def test_stream_that_cannot_be_attributed_is_discarded(body: str, reason: DiscardReason) -> None:
+    """A missing or invalid version or token count, truncation and bad JSON have own reasons."""
     assert read(body).unwrap_err().reason is reason
 
 
-def test_bytes_that_are_no_text_are_discarded() -> None:
-    """A body that is not UTF-8 is no sample."""
+def test_stream_that_is_not_utf8_is_discarded() -> None:
+    """A body that is not valid UTF-8 is malformed."""
     assert read(b"data: \xff\xfe\n\n").unwrap_err().reason is DiscardReason.MALFORMED
 
 
@@ -81,7 +81,7 @@
 
 
 def whole_body(runs: list[tuple[str, int, int]]) -> bytes:
-    """Return the body of these runs of tokens."""
+    """Return a complete body with these (text, version, tokens) events."""
     events = [event(text, version, tokens) for text, version, tokens in runs]
     return ("".join(events) + event("", None, 0, "stop") + DONE).encode()
 
@@ -90,7 +90,7 @@
 def test_any_split_reads_the_same(
     runs: list[tuple[str, int, int]], cuts: list[int], crlf: bool
 ) -> None:
-    """Wherever the network splits the body, also inside a character, the sample is the same."""
+    """The body may be split into reads anywhere, even inside a character or a line break."""
     body = whole_body(runs)
     body = body.replace(b"\n", b"\r\n") if crlf else body
     stream = CompletionStream()
@@ -106,7 +106,7 @@
 
 @given(runs, st.integers(1, 2_000))
 def test_cut_stream_is_never_a_sample(runs: list[tuple[str, int, int]], cut: int) -> None:
-    """A stream that ends early looks like a short sample and must not be taken for one."""
+    """A stream that ends early looks like a short sample, but must be an error."""
     body = whole_body(runs)
     kept = body[: -(1 + cut % len(body))].rstrip(b"\n")
     result = read(kept)
@@ -115,20 +115,20 @@
 
 @given(st.binary(max_size=200))
 def test_any_bytes_get_an_answer(data: bytes) -> None:
-    """No body breaks the reader."""
+    """No body makes the parser raise an exception."""
     stream = CompletionStream()
     stream.feed(data)
     stream.finish()
 
 
 def plain(segments: Any, finish: str | None = "stop") -> dict[str, Any]:
-    """Return an answer that is not streamed."""
+    """Return the JSON of a response that is not streamed."""
     choice = {"message": {"content": "ab"}, "finish_reason": finish}
     return {"choices": [choice], "segments": segments}
 
 
-def test_answer_that_is_not_streamed() -> None:
-    """Its list of segments is held to the same rules."""
+def test_response_that_is_not_streamed() -> None:
+    """The segments of a response that is not streamed are returned as listed."""
     rows = [{"weight_version": 4, "tokens": 2}, {"weight_version": 5, "tokens": 1}]
     expected = Completion("ab", (Segment(4, 2), Segment(5, 1)), "u")
     assert read_completion(plain(rows), "u").unwrap() == expected
@@ -142,11 +142,11 @@
         (plain([{"tokens": 2}]), DiscardReason.VERSION_MISSING),
         (plain([{"weight_version": 4}]), DiscardReason.TOKENS_INVALID),
         (plain([7]), DiscardReason.MALFORMED),
-        (plain([{"weight_version": 4, "tokens": 2}], None), DiscardReason.CUT),
+        (plain([{"weight_version": 4, "tokens": 2}], None), DiscardReason.TRUNCATED),
         ([], DiscardReason.MALFORMED),
         (None, DiscardReason.MALFORMED),
     ],
 )
-def test_answer_that_is_not_streamed_with_faults(data: Any, reason: DiscardReason) -> None:
-    """Each fault has its own reason here too."""
+def test_invalid_response_that_is_not_streamed(data: Any, reason: DiscardReason) -> None:
+    """The same faults as in a stream give the same reasons."""
     assert read_completion(data).unwrap_err().reason is reason
--- a/tests/samples/test_cursor.py
+++ b/tests/samples/test_cursor.py
@@ -1,4 +1,4 @@
-"""The cursor: it says exactly what was received, or clearly that it is none of this step."""
+"""Tests of encoding and decoding cursors."""
 
 import base64
 import tracemalloc
@@ -27,7 +27,7 @@
 
 @given(sizes, st.data())
 def test_round_trip(sizes: list[int], data: st.DataObject) -> None:
-    """Every set of samples comes back as it was."""
+    """Decoding an encoded cursor gives the same set of samples."""
     declaration = declare(sizes)
     positions = data.draw(st.sets(st.integers(0, declaration.size - 1)))
     cursor = Cursor.start(declaration).with_received(sorted(positions))
@@ -39,7 +39,7 @@
 
 @given(sizes, st.data())
 def test_damaged_cursor_is_refused(sizes: list[int], data: st.DataObject) -> None:
-    """A changed or cut token is told as such, and never read as another set."""
+    """A changed or truncated token is rejected, never decoded as another set of samples."""
     declaration = declare(sizes)
     token = Cursor.start(declaration).with_received([0]).encode()
     at = data.draw(st.integers(0, len(token) - 1))
@@ -56,7 +56,7 @@
 
 @given(st.text())
 def test_any_text_gets_an_answer(text: str) -> None:
-    """No text breaks the reader."""
+    """No string makes the decoder raise an exception."""
     decode_cursor(text, declare([2, 3]))
 
 
@@ -70,21 +70,24 @@
     ],
 )
 def test_cursor_of_another_step_is_refused(other: StepDeclaration) -> None:
-    """Under another declaration the same bits name other samples, which would be skipped."""
+    """With another declaration, the same bits refer to other samples, which would be skipped."""
     token = Cursor.start(declare([2, 3])).with_received([1]).encode()
     assert decode_cursor(token, other).unwrap_err().reason is CursorReason.OTHER_STEP
 
 
-def test_unknown_format_version_is_told() -> None:
-    """A cursor of a newer release is refused by its version."""
+def test_unknown_format_version_is_refused() -> None:
+    """A cursor of a newer release is rejected because of its format version."""
     payload = b"\x02" + b"x" * 40
     payload += zlib.crc32(payload).to_bytes(4, "big")
     token = base64.urlsafe_b64encode(payload).decode().rstrip("=")
     assert decode_cursor(token, declare([2])).unwrap_err().reason is CursorReason.UNKNOWN_VERSION
 
 
-def test_inflated_bitmap_is_not_unpacked() -> None:
-    """A token that unpacks to far more than its step needs is refused, not unpacked."""
+def test_oversized_bitmap_is_not_decompressed() -> None:
+    """A bitmap that decompresses to far more than its step needs is rejected early.
+
+    50 MB would be decompressed otherwise; the limit is 1 MB of memory.
+    """
     declaration = declare([2])
     head = base64.urlsafe_b64decode(Cursor.start(declaration).with_received([0]).encode() + "==")[
         :21
@@ -100,8 +103,11 @@
     assert peak < 1_000_000
 
 
-def test_size_of_a_large_step() -> None:
-    """A step of 8,192 samples has a cursor of under 1,500 characters at its worst."""
+def test_cursor_of_a_large_step_is_short() -> None:
+    """The cursor of a step of 8,192 samples has fewer than 1,500 characters.
+
+    The bitmap is irregular, so it hardly compresses.
+    """
     declaration = declare([8] * 1024)
     positions = [p for p in range(declaration.size) if (p * 2654435761) >> 7 & 1]
     assert len(Cursor.start(declaration).with_received(positions).encode()) < 1500
--- a/tests/samples/test_entry_killed.py
+++ b/tests/samples/test_entry_killed.py
@@ -1,4 +1,4 @@
-"""A step across the death of its owner, with real processes and the log out throughout."""
+"""Tests of a step whose owning entry fails, with real processes."""
 
 import asyncio
 from collections import Counter
@@ -21,20 +21,20 @@
 
 @pytest.fixture
 def deployment() -> Iterator[Deployment]:
-    """Run two upstreams of each kind behind two entries."""
+    """Run a deployment with two upstreams of each kind behind two entries."""
     with launched(load_plan("giat-sach").shrunk(2)) as deployment:
         yield deployment
 
 
 def prompt(group: int) -> str:
-    """Return a group's prompt."""
+    """Return the prompt of a group."""
     return f"Garment {group}: what to do with the stain?"
 
 
 async def async_train(
     deployment: Deployment, trainer: str, faults: list[Callable[[], None]]
 ) -> list[ReceivedSample]:
-    """Take one step, and bring about the next failure after each of the first batches."""
+    """Pull one step, and inject the next fault after each of the first batches."""
     plan = deployment.plan
     service = plan.spec_of("trainer", trainer)["service"]
     version = plan.spec_of("weights", service)["version"]
@@ -53,7 +53,7 @@
 
 
 def book_of(deployment: Deployment, trainer: str, samples: list[ReceivedSample]) -> TrainerBook:
-    """Return the trainer's book, for the audit against the engines' journals."""
+    """Return the record of received samples, to be compared with the engines' journals."""
     spec = deployment.plan.spec_of("trainer", trainer)
     version = deployment.plan.spec_of("weights", spec["service"])["version"]
     book = TrainerBook(trainer, spec["staleness_bound"])
@@ -74,11 +74,11 @@
 
 
 def test_owner_killed_between_delivery_and_the_next_pull(deployment: Deployment) -> None:
-    """The trainer gets a batch; then the entry that owns its step is killed without warning.
+    """The trainer receives a batch; then the entry that owns its step is killed.
 
-    The log is out from before the step to its end, so nothing can have been noted there. Next a
-    side process dies with samples in the making. The trainer goes on at the other entry, which
-    knows nothing but the cursor it is shown: each sample comes once, as the engines made it.
+    The log is unavailable for the whole step, so no state can be stored there. Then a side process
+    is killed while samples are running. The trainer continues at the other entry, which has only
+    the cursor of the trainer: each sample must be received once, as the engines generated it.
     """
     trainer = deployment.plan.names_of("trainer")[0]
     deployment.control("log", outage="refuse")
@@ -88,15 +88,15 @@
     faults = [owner.kill, side.kill]
     samples = asyncio.run(async_train(deployment, trainer, faults))
     assert faults == []
-    assert_whole_and_true(deployment, trainer, samples)
+    assert_complete_and_correct(deployment, trainer, samples)
 
 
-def test_owner_stopped_and_going_on_later(deployment: Deployment) -> None:
-    """The owner is stopped (SIGSTOP) after a batch, and goes on two batches later, unaware.
+def test_owner_suspended_and_resumed_later(deployment: Deployment) -> None:
+    """The owner is suspended (SIGSTOP) after a batch and resumed two batches later.
 
-    Its kernel still takes connections, so calls to it wait for their time-outs. The other entry
-    serves the trainer meanwhile; then the owner is asked again, with a cursor that it never gave
-    out, while it still holds samples that the trainer got from the other.
+    Its kernel still accepts connections, so calls to it wait for their timeouts while the other
+    entry serves the trainer. The resumed owner then gets a cursor that it did not return, and still
+    has samples that the trainer has received from the other entry.
     """
     trainer = deployment.plan.names_of("trainer")[0]
     owner = deployment.process(owner_of(trainer))
@@ -106,7 +106,7 @@
     finally:
         owner.thaw()
     assert faults == []
-    assert_whole_and_true(deployment, trainer, samples)
+    assert_complete_and_correct(deployment, trainer, samples)
 
 
 def owner_of(trainer: str) -> str:
@@ -114,10 +114,10 @@
     return rendezvous.rank(trainer, {"entry-1", "entry-2"})[0]
 
 
-def assert_whole_and_true(
+def assert_complete_and_correct(
     deployment: Deployment, trainer: str, samples: list[ReceivedSample]
 ) -> None:
-    """Check that each sample came once, as the engines made it, and was fresh."""
+    """Check that each sample was received once, as the engines generated it, and not stale."""
     counts = Counter((sample.group, sample.index) for sample in samples)
     assert counts == {(group, index): 1 for group in range(GROUPS) for index in range(SIZE)}
     book = book_of(deployment, trainer, samples)
--- a/tests/samples/test_elsewhere.py
+++ b/tests/samples/test_failed_upstreams.py
@@ -1,4 +1,4 @@
-"""A sample that an engine spoiled is made at another one."""
+"""Tests that a sample that failed at one engine is generated at another."""
 
 import asyncio
 from datetime import timedelta
@@ -13,20 +13,20 @@
 from cranberryline.samples.table import StepTable
 from tests.virtual_time import LoopClock, run_virtual
 
-from .sample_fakes import FakeConfig, FakeScorer, UnlikeEngines
+from .sample_fakes import FakeConfig, FakeScorer, OrderedEngines
 
 DECLARATION = StepDeclaration("t", 1, "s", (GroupDeclaration("p", 4, 8),))
-# Well below the 20 s after which a trainer gives a step up.
-SOON_S = 3.0
+# Well below the 20 s after which a trainer abandons a step.
+STEP_TIMEOUT_S = 3.0
 
 
 @pytest.fixture
-def engines() -> UnlikeEngines:
-    """Return three engines, of which the first is always chosen first."""
-    return UnlikeEngines(["u1", "u2", "u3"])
+def engines() -> OrderedEngines:
+    """Return three engines that are always selected in the same order."""
+    return OrderedEngines(["u1", "u2", "u3"])
 
 
-def _make_table(engines: UnlikeEngines) -> StepTable:
+def _make_table(engines: OrderedEngines) -> StepTable:
     ports = RunnerPorts(engines, FakeScorer(), SlowestFirst(), Metrics(), LoopClock())
     return StepTable(ports, FakeConfig())
 
@@ -44,35 +44,35 @@
 
 
 @pytest.mark.parametrize("broken", [{"u1"}, {"u1", "u2"}])
-def test_a_sample_is_not_made_again_where_it_was_spoiled(
-    engines: UnlikeEngines, broken: set[str]
+def test_sample_is_not_retried_at_the_engine_that_failed(
+    engines: OrderedEngines, broken: set[str]
 ) -> None:
-    """An engine whose swap failed half way serves on and names no version, for many seconds.
+    """An engine whose swap failed half way serves without weight versions for many seconds.
 
-    Its samples are discarded, and each was started again where its prompt's prefix lay: at the
-    same engine, a dozen times with growing pauses, while the other engines were idle. The trainer
-    waited 20 s for the last sample of its step and gave the step up.
+    Its samples are discarded, and prefix affinity started each one again at the same engine, a
+    dozen times with growing pauses, while other engines were idle. The trainer waited 20 s for the
+    last sample of its step and abandoned the step.
     """
 
-    async def async_play() -> None:
+    async def async_scenario() -> None:
         engines.broken = broken
         table = _make_table(engines)
-        async with asyncio.timeout(SOON_S):
+        async with asyncio.timeout(STEP_TIMEOUT_S):
             assert sorted(await _async_make_step(table)) == DECLARATION.ids()
         assert all(len(set(tried)) == len(tried) for tried in engines.tried.values())
         await table.async_close()
 
-    run_virtual(async_play())
+    run_virtual(async_scenario())
 
 
-def test_engines_take_turns_while_all_spoil_samples(engines: UnlikeEngines) -> None:
-    """All engines spoil samples, and after a while the last of them serves a version again.
+def test_engines_are_retried_in_turn_while_all_fail(engines: OrderedEngines) -> None:
+    """All engines fail samples, and after 8 s the last one recovers.
 
-    With every engine to be avoided none is, and the first by prefix would be chosen for good: the
-    attempts go round instead, so that the one that works is found within a round.
+    If all engines were excluded for good, prefix affinity would select the first one each time.
+    Attempts have to rotate, so that the recovered engine is found within one round.
     """
 
-    async def async_play() -> None:
+    async def async_scenario() -> None:
         engines.broken = {"u1", "u2", "u3"}
         table = _make_table(engines)
         step = asyncio.ensure_future(_async_make_step(table))
@@ -82,8 +82,8 @@
         engines.broken = {"u1", "u2"}
         async with asyncio.timeout(20):
             assert sorted(await step) == DECLARATION.ids()
-        rounds = [len(tried) - before[name] for name, tried in engines.tried.items()]
-        assert max(rounds) <= len(engines.engines)
+        retries = [len(tried) - before[name] for name, tried in engines.tried.items()]
+        assert max(retries) <= len(engines.engines)
         await table.async_close()
 
-    run_virtual(async_play())
+    run_virtual(async_scenario())
--- a/tests/samples/test_hand_over.py
+++ b/tests/samples/test_hand_over.py
@@ -1,9 +1,4 @@
-"""Exactly-once hand-over between two entries and one trainer, over a network that misbehaves.
-
-Both entries may own the step at once, forget it, finish hedges twice and know the newest version
-late. Answers to pulls are lost, repeated and arrive at any later time; the trainer moves on in
-between and goes back to its checkpoint. What it has taken is checked after every step.
-"""
+"""Stateful test of exactly-once delivery from two entries to one trainer over a faulty network."""
 
 from collections import Counter
 
@@ -37,7 +32,7 @@
 
 @attrs.define(eq=False)
 class Attempt:
-    """An attempt that an engine works on; `first` is the version that it began with."""
+    """A running attempt; `first` is the weight version at its start."""
 
     owner: int
     ledger: StepLedger
@@ -47,13 +42,13 @@
 
 
 def text_of(sample_id: SampleId, name: str, segments: tuple[Segment, ...]) -> str:
-    """Return a text that tells what truly made it."""
+    """Return a text that contains the identity, the weight versions and the attempt of a sample."""
     versions = ",".join(str(segment.weight_version) for segment in segments)
     return f"{sample_id.group}/{sample_id.index}|{versions}|{name}"
 
 
 def received(sample: Sample) -> ReceivedSample:
-    """Return a sample as the trainer reads it."""
+    """Return a sample as decoded by the trainer."""
     segments = tuple(
         ReceivedSegment(s.weight_version, s.tokens) for s in sample.completion.segments
     )
@@ -61,7 +56,12 @@
 
 
 class HandOver(RuleBasedStateMachine):
-    """One step, two owners, one trainer."""
+    """One step, two entries that both act as its owner, one trainer.
+
+    Entries lose their state, finish both attempts of a hedged sample and learn of new versions
+    late. Responses to pulls are lost, repeated or delayed. The trainer continues meanwhile, and
+    returns to its checkpoint. The samples it has accepted are checked after every step.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -79,14 +79,14 @@
 
     @rule(owner=owners, count=st.integers(1, 5))
     def start(self, owner: int, count: int) -> None:
-        """Start samples that nobody makes."""
+        """Start samples that have no running attempt at this entry."""
         ledger = self.ledgers[owner]
         for sample_id in ledger.startable(count):
             self._begin(owner, sample_id)
 
     @rule(owner=owners)
     def hedge(self, owner: int) -> None:
-        """Start a straggler once more."""
+        """Start a second attempt at a running sample."""
         for sample_id in self.ledgers[owner].hedgeable()[:1]:
             self._begin(owner, sample_id)
 
@@ -100,7 +100,7 @@
     @precondition(lambda self: self.attempts)
     @rule(at=anywhere, count=st.integers(1, 5))
     def finish(self, at: int, count: int) -> None:
-        """Let engines finish; a sample that began before a swap has two segments."""
+        """Finish attempts; a sample started before a swap has two segments."""
         for _ in range(min(count, len(self.attempts))):
             attempt = self.attempts.pop(at % len(self.attempts))
             versions = sorted({attempt.first, self.engine_version})
@@ -111,7 +111,7 @@
 
     @rule(owner=owners, count=st.integers(1, 3))
     def make(self, owner: int, count: int) -> None:
-        """Start and finish samples in one go."""
+        """Start samples and finish them at once."""
         before = len(self.attempts)
         self.start(owner, count)
         while len(self.attempts) > before:
@@ -119,26 +119,26 @@
 
     @rule(owner=owners, limit=st.integers(1, 4))
     def pull_at_once(self, owner: int, limit: int) -> None:
-        """Pull and have it answered; the answer is on its way."""
+        """Send a pull and compute its response, which is not delivered yet."""
         self.pull(1)
         self.serve(-1, owner, limit)
 
     @precondition(lambda self: self.attempts)
     @rule(at=anywhere)
     def fail(self, at: int) -> None:
-        """Let an attempt end without a sample."""
+        """Let an attempt fail."""
         attempt = self.attempts.pop(at % len(self.attempts))
         attempt.ledger.discard(attempt.sample_id, attempt.name, DiscardReason.FAILED)
 
     @rule(send=st.integers(1, 2))
     def pull(self, send: int) -> None:
-        """Send a pull, which may reach any entry, at any time, more than once."""
+        """Send a pull, which can reach any entry, at any time, and twice."""
         self.pulls += [(self.position.cursor, self.position.version)] * send
 
     @precondition(lambda self: self.pulls)
     @rule(at=anywhere, owner=owners, limit=st.integers(1, 4))
     def serve(self, at: int, owner: int, limit: int) -> None:
-        """Answer a pull at one of the entries."""
+        """Compute the response to a pull at one of the entries."""
         cursor, version = self.pulls.pop(at % len(self.pulls))
         newest = self.known_newest[owner]
         batch = self.ledgers[owner].pull(cursor, version, newest, BOUND, limit).unwrap()
@@ -152,7 +152,7 @@
     @precondition(lambda self: self.answers)
     @rule(at=anywhere, again=st.booleans())
     def receive(self, at: int, again: bool) -> None:
-        """Let an answer reach the trainer, which checks and takes it in one act."""
+        """Deliver a response to the trainer; the samples it accepts must not be stale."""
         index = at % len(self.answers)
         batch = self.answers[index] if again else self.answers.pop(index)
         if self.position.take(batch) is not TakeOutcome.TAKEN:
@@ -165,18 +165,18 @@
     @precondition(lambda self: self.answers)
     @rule(at=anywhere)
     def lose_answer(self, at: int) -> None:
-        """Lose an answer on its way."""
+        """Lose a response."""
         del self.answers[at % len(self.answers)]
 
     @rule(owner=owners)
     def kill(self, owner: int) -> None:
-        """Kill an entry; its replacement knows nothing but the declaration."""
+        """Kill an entry; its replacement has only the declaration."""
         self.ledgers[owner] = StepLedger(DECLARATION)
         self.attempts = [attempt for attempt in self.attempts if attempt.owner != owner]
 
     @rule(engine=st.booleans(), trainer=st.booleans(), owner=owners)
     def move_versions(self, engine: bool, trainer: bool, owner: int) -> None:
-        """Bring out a version; engines, the trainer and one entry may follow it or not yet."""
+        """Publish a version; one entry learns of it, engines and trainer may switch to it."""
         self.newest += 1
         self.known_newest[owner] = self.newest
         if engine:
@@ -186,24 +186,24 @@
 
     @rule()
     def save(self) -> None:
-        """Write a checkpoint: what the trainer has, and where it stands."""
+        """Save a checkpoint with the trainer's cursor and its samples."""
         self.checkpoint = (self.position.cursor, self.position.done, list(self.taken))
 
     @rule()
     def restore(self) -> None:
-        """Go back to the checkpoint; what was taken after it is lost to the trainer."""
+        """Restore the checkpoint; the trainer loses the samples accepted after it."""
         self.position.cursor, self.position.done, taken = self.checkpoint
         self.taken = list(taken)
 
     @invariant()
     def each_at_most_once(self) -> None:
-        """Find no identity twice among what the trainer has."""
+        """Check that the trainer has no sample twice."""
         counts = Counter((sample.group, sample.index) for sample in self.taken)
         assert all(count == 1 for count in counts.values())
 
     @invariant()
     def each_attributed(self) -> None:
-        """Hold identity and versions against the text, which tells what made it."""
+        """Check identity and versions of each sample against its text."""
         for sample in self.taken:
             identity, versions, _ = sample.text.split("|")
             assert identity == f"{sample.group}/{sample.index}"
@@ -212,12 +212,15 @@
 
     @invariant()
     def done_means_all(self) -> None:
-        """See to it that a trainer told that it is done has every sample."""
+        """Check that a trainer whose step is done has every sample."""
         if self.position.done:
             assert len(self.taken) == DECLARATION.size
 
     def teardown(self) -> None:
-        """Let everything work again: the trainer gets each sample that it lacks, once."""
+        """Stop injecting faults and check that the trainer receives each missing sample once.
+
+        Each round delivers up to two samples; the step has to finish within four rounds per sample.
+        """
         self.engine_version = self.newest
         self.position.version = self.newest
         self.known_newest = [self.newest] * OWNERS
@@ -237,7 +240,7 @@
         self.done_means_all()
 
     def finish_all(self) -> None:
-        """Let all engines finish."""
+        """Finish all running attempts."""
         while self.attempts:
             self.finish(0, 1)
 
--- a/tests/samples/test_ledger.py
+++ b/tests/samples/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger's single rules."""
+"""Tests of the step ledger."""
 
 import pytest
 from hypothesis import given
@@ -20,24 +20,24 @@
 
 
 def completion(text: str = "x", version: int = 5) -> Completion:
-    """Return a completion of one version."""
+    """Return a completion with one weight version."""
     return Completion(text, (Segment(version, 2),), "u")
 
 
 def finish(ledger: StepLedger, sample_id: SampleId, version: int = 5) -> None:
-    """Make a sample at once."""
+    """Start a sample and finish it."""
     assert ledger.start(sample_id, "a")
     assert ledger.finish(sample_id, "a", completion(version=version), 0.5) is FinishOutcome.KEPT
 
 
 @pytest.fixture
 def ledger() -> StepLedger:
-    """Return the ledger of a step of three samples."""
+    """Return the ledger of a step with three samples."""
     return StepLedger(DECLARATION)
 
 
-def test_first_finish_wins_and_the_hedge_is_called_off(ledger: StepLedger) -> None:
-    """A straggler and its hedge both finish; the first counts, whichever it is."""
+def test_first_finished_attempt_counts_and_the_other_is_obsolete(ledger: StepLedger) -> None:
+    """If a straggler and its hedge both finish, only the first result is stored."""
     assert ledger.start(FIRST, "a")
     assert ledger.start(FIRST, "b")
     assert not ledger.start(FIRST, "c")
@@ -48,26 +48,26 @@
     assert [sample.completion.text for sample in batch.samples] == ["of b"]
 
 
-def test_hedge_that_fails_leaves_the_other_running(ledger: StepLedger) -> None:
-    """Only with its last attempt does an identity become startable again."""
+def test_failed_hedge_leaves_the_other_attempt_running(ledger: StepLedger) -> None:
+    """A sample becomes startable again only when its last attempt has failed."""
     ledger.start(FIRST, "a")
     ledger.start(FIRST, "b")
     ledger.discard(FIRST, "b", DiscardReason.FAILED)
     assert FIRST not in ledger.startable(9)
-    ledger.discard(FIRST, "a", DiscardReason.CUT)
+    ledger.discard(FIRST, "a", DiscardReason.TRUNCATED)
     assert ledger.startable(9)[0] == FIRST
-    assert ledger.take_discards() == {DiscardReason.FAILED: 1, DiscardReason.CUT: 1}
+    assert ledger.take_discards() == {DiscardReason.FAILED: 1, DiscardReason.TRUNCATED: 1}
 
 
-def test_unknown_attempt_is_not_kept(ledger: StepLedger) -> None:
-    """A result that belongs to no attempt of the identity is no sample of it."""
+def test_result_of_unknown_attempt_is_not_stored(ledger: StepLedger) -> None:
+    """A result is rejected if the sample has no running attempt of that name."""
     ledger.start(FIRST, "a")
     assert ledger.finish(FIRST, "z", completion(), 0.5) is FinishOutcome.UNKNOWN_ATTEMPT
     assert ledger.finish(SECOND, "a", completion(), 0.5) is FinishOutcome.UNKNOWN_ATTEMPT
 
 
 def test_repeated_pull_gets_the_same_batch(ledger: StepLedger) -> None:
-    """The answer to a pull is lost, more samples finish, and the trainer asks again."""
+    """The response to a pull is lost, more samples finish, and the trainer repeats the pull."""
     finish(ledger, FIRST)
     first = ledger.pull("", 5, 5, 0, 9).unwrap()
     finish(ledger, SECOND)
@@ -76,30 +76,30 @@
     assert [sample.id for sample in rest.samples] == [SECOND]
 
 
-def test_stale_by_the_trainers_own_version_is_made_again(ledger: StepLedger) -> None:
-    """The trainer is ahead of what this entry knows; its word counts at the hand-over."""
+def test_sample_stale_by_the_trainers_version_is_generated_again(ledger: StepLedger) -> None:
+    """The trainer has a newer version than this entry knows, which counts for staleness."""
     finish(ledger, FIRST, version=5)
     assert ledger.pull("", 7, 5, 1, 9).unwrap().samples == ()
     assert ledger.startable(1) == [FIRST]
     assert ledger.take_discards() == {DiscardReason.STALE: 1}
 
 
-def test_stale_by_the_version_in_force_is_made_again(ledger: StepLedger) -> None:
-    """The trainer has not moved yet, but the version in force has."""
+def test_sample_stale_by_the_configured_version_is_not_delivered(ledger: StepLedger) -> None:
+    """The configured version is newer than that of the trainer, and counts for staleness."""
     finish(ledger, FIRST, version=5)
     assert ledger.pull("", 5, 7, 1, 9).unwrap().samples == ()
 
 
-def test_the_oldest_segment_counts(ledger: StepLedger) -> None:
-    """A sample across a swap is as old as its first token."""
+def test_staleness_depends_on_the_oldest_segment(ledger: StepLedger) -> None:
+    """A sample generated during a swap is as old as its first token."""
     ledger.start(FIRST, "a")
     across = Completion("x", (Segment(4, 1), Segment(6, 99)), "u")
     ledger.finish(FIRST, "a", across, 0.5)
     assert ledger.pull("", 6, 6, 1, 9).unwrap().samples == ()
 
 
-def test_only_a_cursor_reclaims(ledger: StepLedger) -> None:
-    """What was handed over stays until the trainer names a cursor that covers it."""
+def test_sample_is_removed_only_when_a_cursor_covers_it(ledger: StepLedger) -> None:
+    """A delivered sample is kept until the trainer pulls with a cursor that covers it."""
     finish(ledger, FIRST)
     batch = ledger.pull("", 5, 5, 0, 9).unwrap()
     assert ledger.ready == 1
@@ -108,8 +108,8 @@
     assert FIRST not in ledger.startable(9)
 
 
-def test_cursor_of_another_owner_is_taken_over(ledger: StepLedger) -> None:
-    """An entry that has just started learns from the cursor what not to make."""
+def test_cursor_from_another_entry_is_applied(ledger: StepLedger) -> None:
+    """A new ledger does not generate samples that the cursor covers, and cancels their attempts."""
     finish(ledger, FIRST)
     cursor = ledger.pull("", 5, 5, 0, 9).unwrap().next_cursor
     other = StepLedger(DECLARATION)
@@ -120,8 +120,8 @@
     assert other.finish(FIRST, "b", completion(), 0.5) is FinishOutcome.DUPLICATE
 
 
-def test_trainer_set_back_gets_what_it_lost(ledger: StepLedger) -> None:
-    """A trainer restored from a checkpoint names an older cursor; the rest is made again."""
+def test_restored_trainer_gets_lost_samples_again(ledger: StepLedger) -> None:
+    """A trainer restored from a checkpoint has an older cursor; the rest is generated again."""
     finish(ledger, FIRST)
     cursor = ledger.pull("", 5, 5, 0, 9).unwrap().next_cursor
     ledger.pull(cursor, 5, 5, 0, 9)
@@ -129,8 +129,8 @@
     assert ledger.startable(1) == [FIRST]
 
 
-def test_done_with_the_last_sample(ledger: StepLedger) -> None:
-    """The batch that completes the step says so, and so does a pull after it."""
+def test_batch_with_the_last_sample_is_done(ledger: StepLedger) -> None:
+    """The batch that completes the step has `done` set, and so has that of a further pull."""
     for sample_id in DECLARATION.ids():
         finish(ledger, sample_id)
     batch = ledger.pull("", 5, 5, 0, 9).unwrap()
@@ -141,17 +141,17 @@
 
 
 def test_identity_outside_the_step_is_an_error() -> None:
-    """A group or index that was not declared has no position."""
-    with pytest.raises(ValueError, match="no group"):
+    """The position of an undeclared group or index raises ValueError."""
+    with pytest.raises(ValueError, match="has no group"):
         DECLARATION.position(SampleId(1, 0))
-    with pytest.raises(ValueError, match="no index"):
+    with pytest.raises(ValueError, match="has no index"):
         DECLARATION.position(SampleId(0, 3))
 
 
-def test_fresh_samples_are_not_looked_through_again(
+def test_fresh_samples_are_not_checked_again(
     ledger: StepLedger, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A step of 8,192 with a late trainer looks for stale samples at each one that finishes."""
+    """Each end of a sample checks for stale ones, too slow if it visits all 8,192 of a step."""
     first, second = ledger.startable(2)
     finish(ledger, first, version=5)
     finish(ledger, second, version=6)
@@ -160,12 +160,12 @@
 
 
 def _fail(_: Completion) -> int:
-    raise AssertionError("looked through again")
+    raise AssertionError("a fresh sample was checked again")
 
 
 @given(st.lists(st.tuples(st.integers(1, 9), st.integers(1, 12), st.integers(0, 3)), max_size=24))
 def test_exactly_the_stale_ones_are_dropped(steps: list[tuple[int, int, int]]) -> None:
-    """Whatever finishes and comes into force in between, none older than the bound is kept."""
+    """With any versions and bounds, exactly the samples older than the bound are dropped."""
     declaration = StepDeclaration("t", 1, "s", (GroupDeclaration("p", 24, 8),))
     ledger, kept = StepLedger(declaration), []
     for version, newest, bound in steps:
--- a/tests/samples/test_runner.py
+++ b/tests/samples/test_runner.py
@@ -1,4 +1,4 @@
-"""The runner of a step: it starts, hedges, scores, resumes after failures and ends by itself."""
+"""Tests of the step runner: starts, hedges, scoring, retries and its end."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 from cranberryline.samples.hedging import SlowestFirst
 from cranberryline.samples.model import Pull
 from cranberryline.samples.ports import RolloutLimits, RunningSample
-from cranberryline.samples.runner import BACKOFF_MOST, BACKOFF_START, StepRunner
+from cranberryline.samples.runner import INITIAL_BACKOFF, MAX_BACKOFF, StepRunner
 from cranberryline.samples.table import StepTable
 
 from .sample_fakes import FakeConfig, FakeDispatch, FakeScorer
@@ -32,12 +32,12 @@
 
 
 async def async_pull(runner: StepRunner, cursor: str = "", version: int = 5) -> Batch:
-    """Pull once."""
+    """Return the result of one pull."""
     return (await runner.async_pull(Pull(cursor, version, 64, WAIT))).unwrap()
 
 
 async def async_pull_all(runner: StepRunner, version: int = 5) -> list[SampleId]:
-    """Pull until the step is done."""
+    """Pull until the step is done; return the samples received."""
     cursor, ids = "", []
     async with asyncio.timeout(20):
         while True:
@@ -49,44 +49,46 @@
                 return ids
 
 
-def test_step_is_made_whole_within_its_room(make_table: MakeTable, dispatch: FakeDispatch) -> None:
-    """Every sample comes once, and never more are in flight than the trainer may have."""
+def test_step_completes_within_the_in_flight_limit(
+    make_table: MakeTable, dispatch: FakeDispatch
+) -> None:
+    """Each sample is delivered once, with at most the trainer's limit of 4 in flight."""
 
-    async def async_play() -> None:
+    async def async_scenario() -> None:
         table = make_table()
         runner = table.declare(DECLARATION, owner=True).unwrap()
         assert sorted(await async_pull_all(runner)) == DECLARATION.ids()
-        assert dispatch.most_running <= 4
+        assert dispatch.max_running <= 4
         assert set(dispatch.started.values()) == {1}
         await table.async_close()
 
-    asyncio.run(async_play())
+    asyncio.run(async_scenario())
 
 
-def test_two_steps_of_a_trainer_share_its_room(
+def test_two_steps_of_a_trainer_share_its_in_flight_limit(
     make_table: MakeTable, dispatch: FakeDispatch
 ) -> None:
-    """A trainer that declares ahead gets no more in flight for it."""
+    """Declaring a second step early does not raise the number of samples in flight."""
 
-    async def async_play() -> None:
+    async def async_scenario() -> None:
         table = make_table()
         later = StepDeclaration("t", 2, "s", DECLARATION.groups)
         runners = [table.declare(step, owner=True).unwrap() for step in (DECLARATION, later)]
         for runner in runners:
             assert len(await async_pull_all(runner)) == DECLARATION.size
-        assert dispatch.most_running <= 4
+        assert dispatch.max_running <= 4
         await table.async_close()
 
-    asyncio.run(async_play())
+    asyncio.run(async_scenario())
 
 
 @pytest.mark.parametrize("failures", [2, -2])
-def test_scorer_that_is_out_costs_no_sample(
+def test_unavailable_scorer_loses_no_sample(
     make_table: MakeTable, dispatch: FakeDispatch, scorer: FakeScorer, failures: int
 ) -> None:
-    """A score that fails, or is no number, is asked again; nothing is generated twice for it."""
+    """Scoring is retried after errors and NaN scores, without generating a sample again."""
 
-    async def async_play() -> None:
+    async def async_scenario() -> None:
         scorer.failures = failures
         table = make_table()
         runner = table.declare(DECLARATION, owner=True).unwrap()
@@ -94,19 +96,19 @@
         assert set(dispatch.started.values()) == {1}
         await table.async_close()
 
-    asyncio.run(async_play())
+    asyncio.run(async_scenario())
 
 
-def test_failing_engines_are_asked_less_and_less(
+def test_attempts_back_off_while_engines_fail(
     make_table: MakeTable, dispatch: FakeDispatch, metrics: Metrics
 ) -> None:
-    """Every attempt fails for a second, then the engines work again and the step ends whole.
+    """Every attempt fails for a second, then the engines recover and the step completes.
 
-    Without the pause the step would start its samples again at once, thousands of times a second.
+    Without a back-off, samples would be started thousands of times per second.
     """
 
-    async def async_play() -> None:
-        dispatch.failing = DiscardReason.CUT
+    async def async_scenario() -> None:
+        dispatch.failing = DiscardReason.TRUNCATED
         table = make_table()
         runner = table.declare(DECLARATION, owner=True).unwrap()
         await asyncio.sleep(1)
@@ -116,62 +118,64 @@
         assert len(await async_pull_all(runner)) == DECLARATION.size
         await table.async_close()
 
-    asyncio.run(async_play())
+    asyncio.run(async_scenario())
 
 
-def test_one_crash_is_one_failure(make_table: MakeTable, dispatch: FakeDispatch) -> None:
-    """All that ran on one engine fails at once, and the step pauses once, briefly.
+def test_crash_of_an_engine_counts_as_one_failure(
+    make_table: MakeTable, dispatch: FakeDispatch
+) -> None:
+    """All attempts at one engine fail at once, and the step pauses once for the initial back-off.
 
-    Each attempt counted by itself would double the pause four times over, up to the longest:
-    a trainer with fifteen samples on an engine that crashed stood still for 5 s and more.
+    If each of the four attempts doubled the pause, it would grow up to the maximum. A trainer with
+    fifteen samples at an engine that crashed was stalled for 5 s and more.
     """
 
-    async def async_play() -> None:
-        dispatch.failing = DiscardReason.CUT
+    async def async_scenario() -> None:
+        dispatch.failing = DiscardReason.TRUNCATED
         table = make_table()
         runner = table.declare(DECLARATION, owner=True).unwrap()
-        while dispatch.started.total() < 4 or dispatch.running:  # noqa: ASYNC110 - a plain count
+        while dispatch.started.total() < 4 or dispatch.running:  # noqa: ASYNC110 - a counter
             await asyncio.sleep(0)
         await asyncio.sleep(0.01)
         dispatch.failing = None
-        assert runner.pause <= BACKOFF_START
+        assert runner.remaining_pause <= INITIAL_BACKOFF
         assert len(await async_pull_all(runner)) == DECLARATION.size
         await table.async_close()
 
-    asyncio.run(async_play())
+    asyncio.run(async_scenario())
 
 
-def test_a_refusal_that_says_come_back_late_stalls_no_trainer(
+def test_long_retry_after_does_not_stall_the_trainer(
     make_table: MakeTable, dispatch: FakeDispatch
 ) -> None:
-    """One refusal with a long Retry-After holds the step up for the longest pause, not for a minute.
+    """A rejection with a Retry-After of a minute pauses the step for the maximum back-off only.
 
-    An entry that has just started knows no capacity yet and may name its longest time. The trainer
-    stood idle for that long, though the engines were free a moment later.
+    An entry that has just started does not know the capacity yet and may send its longest time. The
+    trainer was idle that long, although engines became free a moment later.
     """
 
-    async def async_play() -> None:
+    async def async_scenario() -> None:
         dispatch.failing = DiscardReason.FAILED
         dispatch.retry_after = timedelta(minutes=1)
         table = make_table()
         runner = table.declare(DECLARATION, owner=True).unwrap()
         await asyncio.sleep(0.05)
-        assert timedelta() < runner.pause <= BACKOFF_MOST
+        assert timedelta() < runner.remaining_pause <= MAX_BACKOFF
         await table.async_close()
 
-    asyncio.run(async_play())
+    asyncio.run(async_scenario())
 
 
-def test_stale_sample_is_made_again(
+def test_stale_sample_is_generated_again(
     make_table: MakeTable, dispatch: FakeDispatch, config: FakeConfig, metrics: Metrics
 ) -> None:
-    """Samples wait, two versions go by, and the pull gets new ones."""
+    """Samples become stale before the pull, by two new versions, and are generated again."""
 
-    async def async_play() -> None:
+    async def async_scenario() -> None:
         table = make_table()
         runner = table.declare(DECLARATION, owner=True).unwrap()
         await asyncio.sleep(0.1)
-        config.in_force = RolloutLimits(7, 1, 4)
+        config.current_limits = RolloutLimits(7, 1, 4)
         dispatch.version = 7
         table.wake()
         assert len(await async_pull_all(runner, version=7)) == DECLARATION.size
@@ -179,15 +183,15 @@
         assert metrics.value("cranberryline_discards_total", reason="stale") == DECLARATION.size
         await table.async_close()
 
-    asyncio.run(async_play())
+    asyncio.run(async_scenario())
 
 
-def test_straggler_is_hedged_elsewhere(
+def test_straggler_is_hedged_at_another_engine(
     make_table: MakeTable, dispatch: FakeDispatch, metrics: Metrics
 ) -> None:
-    """One sample hangs at its engine; it is started at another and the step ends without it."""
+    """One sample hangs at its engine; a hedge at another engine completes the step."""
 
-    async def async_play() -> None:
+    async def async_scenario() -> None:
         dispatch.held["t/1/1/3"] = asyncio.Event()
         table = make_table()
         runner = table.declare(DECLARATION, owner=True).unwrap()
@@ -199,19 +203,19 @@
         assert metrics.value("cranberryline_retries_total", reason="hedge") == 1
         await table.async_close()
 
-    asyncio.run(async_play())
+    asyncio.run(async_scenario())
 
 
-def test_earlier_step_goes_before_a_later_one(
+def test_earlier_step_has_priority_over_a_later_one(
     make_table: MakeTable, dispatch: FakeDispatch
 ) -> None:
-    """A trainer waits for step 1, of which one sample hangs, while step 2 could use all the room.
+    """A trainer waits for step 1, where one sample hangs, while step 2 could use every slot.
 
-    Room that becomes free goes to the step that the trainer waits for: its straggler is hedged
-    although the later step has samples to start all the time.
+    A slot that becomes free goes to the step that the trainer waits for, so its straggler is hedged
+    although the later step always has samples to start.
     """
 
-    async def async_play() -> None:
+    async def async_scenario() -> None:
         dispatch.held["t/1/1/3"] = asyncio.Event()
         dispatch.pause_s = 0.1
         table = make_table()
@@ -221,16 +225,16 @@
         async with asyncio.timeout(4):
             assert len(await async_pull_all(runner)) == DECLARATION.size
         assert later.running > 0
-        assert dispatch.most_running <= 4
+        assert dispatch.max_running <= 4
         await table.async_close()
 
-    asyncio.run(async_play())
+    asyncio.run(async_scenario())
 
 
-def test_step_of_a_quiet_trainer_ends(make_table: MakeTable, dispatch: FakeDispatch) -> None:
-    """A trainer that has gone costs nothing after a while; back again, it declares anew."""
+def test_step_of_an_idle_trainer_ends(make_table: MakeTable, dispatch: FakeDispatch) -> None:
+    """A step ends after the idle timeout; the trainer can declare it again."""
 
-    async def async_play() -> None:
+    async def async_scenario() -> None:
         table = make_table()
         runner = table.declare(DECLARATION, owner=True).unwrap()
         runner.touch(timedelta(milliseconds=50))
@@ -241,20 +245,20 @@
         assert again is not runner
         await table.async_close()
 
-    asyncio.run(async_play())
+    asyncio.run(async_scenario())
 
 
-def test_step_handed_over_whole_is_kept_briefly(
+def test_delivered_step_is_kept_briefly(
     make_table: MakeTable, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A trainer takes the last batch and never calls for this step again.
+    """A trainer pulls the last batch and makes no further call for this step.
 
-    The same pull repeated at once gets that batch; then the step goes, long before the quiet
-    time of one in the making, or a quick trainer's steps would fill the entry's memory.
+    Repeating the pull soon returns the same batch. The step is then dropped long before the idle
+    timeout, as the steps of a fast trainer would otherwise use up the memory of the entry.
     """
-    monkeypatch.setattr(runner_module, "DONE_QUIET_AFTER", timedelta(milliseconds=300))
+    monkeypatch.setattr(runner_module, "DELIVERED_STEP_TTL", timedelta(milliseconds=300))
 
-    async def async_play() -> None:
+    async def async_scenario() -> None:
         table = make_table()
         runner = table.declare(DECLARATION, owner=True).unwrap()
         await asyncio.sleep(0.2)
@@ -266,15 +270,15 @@
         assert runner.closed
         await table.async_close()
 
-    asyncio.run(async_play())
+    asyncio.run(async_scenario())
 
 
-def test_pull_that_waits_is_answered_at_a_planned_stop(
+def test_waiting_pull_is_answered_at_shutdown(
     make_table: MakeTable, dispatch: FakeDispatch
 ) -> None:
-    """The entry stops while a pull is held open: an empty batch at once, and no cut call."""
+    """An entry that stops answers waiting pulls with an empty batch at once."""
 
-    async def async_play() -> None:
+    async def async_scenario() -> None:
         for sample_id in DECLARATION.ids():
             name = f"t/1/{sample_id.group}/{sample_id.index}"
             dispatch.held[name] = asyncio.Event()
@@ -288,13 +292,13 @@
         assert (batch.samples, batch.next_cursor) == ((), "")
         assert dispatch.running == 0
 
-    asyncio.run(async_play())
+    asyncio.run(async_scenario())
 
 
 def test_another_declaration_of_a_step_is_refused(make_table: MakeTable) -> None:
-    """The same declaration is the same step; with other groups identities would change."""
+    """Repeating a declaration returns the same step; other groups would change the identities."""
 
-    async def async_play() -> None:
+    async def async_scenario() -> None:
         table = make_table()
         runner = table.declare(DECLARATION, owner=True).unwrap()
         assert table.declare(DECLARATION, owner=True).unwrap() is runner
@@ -302,11 +306,11 @@
         assert table.declare(other, owner=True).unwrap_err() is StepRefusal.STEP_DIFFERS
         await table.async_close()
 
-    asyncio.run(async_play())
+    asyncio.run(async_scenario())
 
 
-def test_hedging_waits_for_a_typical_time_and_takes_few() -> None:
-    """No hedge without a comparison, none of the quick ones, and a share at a time."""
+def test_hedging_needs_a_median_and_selects_few() -> None:
+    """Hedging needs three finished samples, and selects a fraction of the slow ones at a time."""
     seconds = [timedelta(seconds=number) for number in (1, 2, 3)]
     running = [RunningSample(SampleId(0, at), timedelta(seconds=at)) for at in range(20)]
     assert SlowestFirst().pick(running, seconds[:2], 9) == []
--- a/tests/samples/test_traces.py
+++ b/tests/samples/test_traces.py
@@ -1,4 +1,4 @@
-"""Replay of recorded traces of samples: each line's outcome stands beside it as `gives`."""
+"""Replay of recorded traces of samples; `gives` in each line is the expected result."""
 
 from pathlib import Path
 from typing import Any
@@ -18,11 +18,14 @@
 
 TRACES = sorted((Path(__file__).parent.parent / "traces").glob("samples_*.jsonl"))
 DECLARATION = StepDeclaration("t", 1, "s", (GroupDeclaration("p", 3, 8),))
-ALL = 99
+ALL = 99  # more than the samples of the step
 
 
 class Replay:
-    """Two owners of a step of three samples, and its trainer at version 5."""
+    """Two owners of a step with three samples, and its trainer at version 5.
+
+    The methods are named after the commands in the traces.
+    """
 
     def __init__(self) -> None:
         self.ledgers = [StepLedger(DECLARATION), StepLedger(DECLARATION)]
@@ -31,7 +34,7 @@
         self.saved = ""
 
     def make(self, line: dict[str, Any]) -> None:
-        """Make samples at an owner."""
+        """Start and finish samples at an owner."""
         ledger = self.ledgers[line["owner"]]
         completion = Completion("x", (Segment(line["version"], 1),), "u")
         for group, index in line["ids"]:
@@ -39,7 +42,7 @@
             ledger.finish(SampleId(group, index), "a", completion, 0.0)
 
     def pull(self, line: dict[str, Any]) -> list[list[int]]:
-        """Pull at an owner; the answer is on its way."""
+        """Pull from an owner and keep the response for a later `take`."""
         version = self.position.version
         ledger = self.ledgers[line["owner"]]
         batch = ledger.pull(
@@ -51,41 +54,41 @@
         return [[sample.id.group, sample.id.index] for sample in batch.samples]
 
     def take(self, line: dict[str, Any]) -> str:
-        """Bring an answer to the trainer."""
+        """Deliver a kept response to the trainer."""
         return self.position.take(self.batches[line["batch"]]).value
 
     def train(self, line: dict[str, Any]) -> None:
-        """Let the trainer take new weights."""
+        """Set the weight version of the trainer."""
         self.position.version = line["version"]
 
     def kill(self, line: dict[str, Any]) -> None:
-        """Kill an owner."""
+        """Replace the ledger of an owner by a new one."""
         self.ledgers[line["owner"]] = StepLedger(DECLARATION)
 
     def save(self, line: dict[str, Any]) -> None:
-        """Write the trainer's checkpoint."""
+        """Save the trainer's checkpoint."""
         self.saved = self.position.cursor
 
     def restore(self, line: dict[str, Any]) -> None:
-        """Go back to the trainer's checkpoint."""
+        """Restore the trainer's checkpoint."""
         self.position.cursor = self.saved
 
     def startable(self, line: dict[str, Any]) -> list[list[int]]:
-        """Tell what an owner would make next."""
+        """Return the samples that an owner would start next."""
         ids = self.ledgers[line["owner"]].startable(ALL)
         return [[sample_id.group, sample_id.index] for sample_id in ids]
 
     def done(self, line: dict[str, Any]) -> bool:
-        """Tell whether the trainer has all."""
+        """Return whether the trainer has received all samples."""
         return self.position.done
 
 
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
-def test_trace_comes_out_as_stated(path: Path) -> None:
-    """Replay one trace, line by line."""
+def test_trace_gives_the_expected_results(path: Path) -> None:
+    """Replay one trace and compare the result of each line."""
     replay(path, Replay())
 
 
-def test_there_are_traces() -> None:
-    """Fail when the traces are not found, which would pass for a replay."""
+def test_traces_are_found() -> None:
+    """Without trace files, the replay test would have no cases and pass."""
     assert len(TRACES) >= 5
