--- a/cranberryline/entry/trainers.py
+++ b/cranberryline/entry/trainers.py
@@ -13,10 +13,10 @@
 from cranberryline.helpers.problem import problem_body
 from cranberryline.samples.const import (
     CURSOR_START,
-    DEFAULT_PULL,
-    MAX_PULL,
+    DEFAULT_PULL_SAMPLES,
+    MAX_PULL_SAMPLES,
     MAX_PULL_WAIT,
-    MAX_VERSION,
+    MAX_WEIGHT_VERSION,
 )
 from cranberryline.samples.declaration import read_declaration
 from cranberryline.samples.errors import CursorError, CursorReason, StepRefusal
@@ -255,9 +255,9 @@
     most_wait = MAX_PULL_WAIT.total_seconds()
     if type(wait_s) not in (int, float) or not 0 <= wait_s <= most_wait:
         return _bad_request(ATTR_WAIT_S, f"seconds from 0 to {most_wait:g}")
-    limit = data.get(ATTR_MAX, DEFAULT_PULL)
-    whole = ((ATTR_STEP, data.get(ATTR_STEP), 0, MAX_STEP), (ATTR_MAX, limit, 1, MAX_PULL))
-    version = (ATTR_VERSION, data.get(ATTR_VERSION), 0, MAX_VERSION)
+    limit = data.get(ATTR_MAX, DEFAULT_PULL_SAMPLES)
+    whole = ((ATTR_STEP, data.get(ATTR_STEP), 0, MAX_STEP), (ATTR_MAX, limit, 1, MAX_PULL_SAMPLES))
+    version = (ATTR_VERSION, data.get(ATTR_VERSION), 0, MAX_WEIGHT_VERSION)
     for name, value, least, most in (*whole, version):
         if type(value) is not int or not least <= value <= most:
             return _bad_request(name, f"a whole number from {least} to {most}")
--- a/cranberryline/samples/attribution.py
+++ b/cranberryline/samples/attribution.py
@@ -18,7 +18,7 @@
     ATTR_WEIGHT_VERSION,
     MAX_SSE_LINE_CHARS,
     MAX_TOKENS_PER_SAMPLE,
-    MAX_VERSION,
+    MAX_WEIGHT_VERSION,
     SSE_DATA,
     SSE_DONE,
 )
@@ -169,7 +169,7 @@
 def _segment(version: Any, tokens: Any) -> Segment | AttributionError:
     if version is None:
         return AttributionError(DiscardReason.VERSION_MISSING, "tokens have no weight version")
-    if type(version) is not int or not 0 <= version <= MAX_VERSION:
+    if type(version) is not int or not 0 <= version <= MAX_WEIGHT_VERSION:
         return AttributionError(DiscardReason.VERSION_INVALID, f"{version!r:.40}")
     if type(tokens) is not int or not 0 < tokens <= MAX_TOKENS_PER_SAMPLE:
         return AttributionError(DiscardReason.TOKENS_INVALID, f"{tokens!r:.40}")
--- a/cranberryline/samples/const.py
+++ b/cranberryline/samples/const.py
@@ -8,7 +8,7 @@
 MAX_GROUPS = 16_384
 MAX_SAMPLES_PER_STEP = 65_536
 MAX_TOKENS_PER_SAMPLE = 1_000_000
-MAX_VERSION = 2**53
+MAX_WEIGHT_VERSION = 2**53
 
 # Concurrent attempts per sample, including hedges; a third costs more engine time than it saves.
 MAX_ATTEMPTS = 2
@@ -32,8 +32,8 @@
 DEFAULT_IDLE_TIMEOUT = timedelta(minutes=10)
 # Idle timeout at an entry that serves a step only because it could not reach the owner.
 NON_OWNER_IDLE_TIMEOUT = timedelta(seconds=30)
-MAX_STEPS = 1024
+MAX_STEPS = 1024  # per entry
 
-MAX_PULL = 4096
-DEFAULT_PULL = 64
+MAX_PULL_SAMPLES = 4096
+DEFAULT_PULL_SAMPLES = 64
 MAX_PULL_WAIT = timedelta(seconds=30)
--- a/cranberryline/samples/runner.py
+++ b/cranberryline/samples/runner.py
@@ -288,7 +288,7 @@
             avoid=avoid,
         )
         result = await self._ports.dispatch.async_complete(
-            req, lambda upstream: self._note_upstream(name, upstream)
+            req, lambda upstream: self._record_upstream(name, upstream)
         )
         if isinstance(result, Err):
             self._handle_failure(sample_id, name, result.unwrap_err())
@@ -303,7 +303,7 @@
             return
         self._record_result(sample_id, name, completion, score)
 
-    def _note_upstream(self, name: str, upstream: str) -> None:
+    def _record_upstream(self, name: str, upstream: str) -> None:
         if name in self._attempts:
             self._attempts[name].upstream = upstream
 
--- a/tests/client/test_trainer_client.py
+++ b/tests/client/test_trainer_client.py
@@ -240,7 +240,7 @@
             entry = entries[0]
             names = [f"t/1/{group}/{index}" for group in (0, 1) for index in range(6)]
             gate = asyncio.Event()
-            entry.dispatch.held = dict.fromkeys(names, gate)
+            entry.dispatch.blocked = dict.fromkeys(names, gate)
             client = make_client(entries)
             await client.async_declare(1, "s", GROUPS, 5)
             work = asyncio.ensure_future(async_collect(client))
--- a/tests/samples/sample_fakes.py
+++ b/tests/samples/sample_fakes.py
@@ -23,13 +23,13 @@
 
 
 class FakeDispatch(SampleDispatch):
-    """Engines that serve `version`; the first attempt at a sample in `held` waits for its event."""
+    """Engines that serve `version`; first attempts at samples in `blocked` wait for their event."""
 
     def __init__(self) -> None:
         self.version = 5
         self.failing: DiscardReason | None = None
         self.retry_after: timedelta | None = None
-        self.held: dict[str, asyncio.Event] = {}
+        self.blocked: dict[str, asyncio.Event] = {}
         self.started: Counter[str] = Counter()
         self.avoided: list[frozenset[str]] = []
         self.pause_s = 0.0
@@ -48,8 +48,8 @@
         self.max_running = max(self.running, self.max_running)
         try:
             version = self.version
-            if self.started[req.sample_id] == 1 and req.sample_id in self.held:
-                await self.held[req.sample_id].wait()
+            if self.started[req.sample_id] == 1 and req.sample_id in self.blocked:
+                await self.blocked[req.sample_id].wait()
             await asyncio.sleep(self.pause_s)
         finally:
             self.running -= 1
--- a/tests/samples/test_runner.py
+++ b/tests/samples/test_runner.py
@@ -192,7 +192,7 @@
     """One sample hangs at its engine; a hedge at another engine completes the step."""
 
     async def async_scenario() -> None:
-        dispatch.held["t/1/1/3"] = asyncio.Event()
+        dispatch.blocked["t/1/1/3"] = asyncio.Event()
         table = make_table()
         runner = table.declare(DECLARATION, owner=True).unwrap()
         assert len(await async_pull_all(runner)) == DECLARATION.size
@@ -216,7 +216,7 @@
     """
 
     async def async_scenario() -> None:
-        dispatch.held["t/1/1/3"] = asyncio.Event()
+        dispatch.blocked["t/1/1/3"] = asyncio.Event()
         dispatch.pause_s = 0.1
         table = make_table()
         groups = (GroupDeclaration("p", 400, 8),)
@@ -281,7 +281,7 @@
     async def async_scenario() -> None:
         for sample_id in DECLARATION.ids():
             name = f"t/1/{sample_id.group}/{sample_id.index}"
-            dispatch.held[name] = asyncio.Event()
+            dispatch.blocked[name] = asyncio.Event()
         table = make_table()
         runner = table.declare(DECLARATION, owner=True).unwrap()
         pull = asyncio.ensure_future(async_pull(runner))
