--- a/cranberryline/gateway/app.py
+++ b/cranberryline/gateway/app.py
@@ -1,4 +1,4 @@
-"""Put the parts of a gateway together, start them and stop them in order."""
+"""Creates the components of a gateway process, starts them and stops them in order."""
 
 import asyncio
 import gc
@@ -52,29 +52,29 @@
 
 _LOGGER = get_logger(__name__)
 
-_TICK = timedelta(milliseconds=200)
-# A tenth of the time within which a draining upstream must get no more work, and a tenth of that in which
-# a dead node is noticed. With eight VMs they save 7 of 36 calls a second and VM to the store, counted there;
-# without them the polls of the two topics that every VM writes to grow with the number of VMs.
-_GATHER_UPSTREAMS = timedelta(milliseconds=200)
-_GATHER_SIGNS = timedelta(milliseconds=300)
-# How long jobs wait for routes and upstreams after a start, each; both are there within 20 ms of a sound store.
-_PLAIN_FIRST = timedelta(milliseconds=300)
-# How long a start waits for what the other gateways hold; a store that is out for that topic alone must not keep
-# callers from sound upstreams.
-_HOLDS_PATIENCE = timedelta(seconds=2)
+_EXPIRY_INTERVAL = timedelta(milliseconds=200)
+# Pauses after a poll that returned records: without them, polls of these two topics grow with the
+# number of VMs; with eight VMs they save 7 of 36 store calls per second and VM. Each is a tenth of its
+# time limit: for giving no more work to a draining upstream, and for detecting a dead node.
+_UPSTREAMS_POLL_PAUSE = timedelta(milliseconds=200)
+_HEARTBEATS_POLL_PAUSE = timedelta(milliseconds=300)
+# Longest delay of reading jobs, per startup tail; a healthy store delivers each within 20 ms.
+_STARTUP_TAIL_TIMEOUT = timedelta(milliseconds=300)
+# How long startup waits for the requests that other gateways hold in quarantine. A store that fails
+# for that topic alone must not keep callers from healthy upstreams.
+_HOLDS_TIMEOUT = timedelta(seconds=2)
 
 
 class GatewayProcess:
-    """One gateway."""
+    """A gateway process: serves callers and runs the items of batch jobs."""
 
     def __init__(self, cfg: GatewaySettings, platform: PlatformPort, clock: Clock) -> None:
         self._cfg = cfg
         self._platform = platform
         self._clock = clock
         self._tasks: list[asyncio.Future[Any]] = []
-        self._servers: list[GracefulServer] = []
-        self._ids = iter(range(1, sys.maxsize))
+        self._http_servers: list[GracefulServer] = []
+        self._request_ids = iter(range(1, sys.maxsize))
         self.stopping = False
         self.metrics = Metrics()
         self.routes = ActiveRoutes()
@@ -88,13 +88,13 @@
             self.metrics,
             NoLog(),
             uuid.uuid4().hex,
-            lambda: next(self._ids),
+            lambda: next(self._request_ids),
             self.routes.spec,
             self._wake,
             platform.connect,
         )
         self.links = DirectLinks(self.table, self.directs)
-        self.quarantine, self._holds_tail = make_quarantine(
+        self.quarantine, self._quarantine_tail = make_quarantine(
             QuarantineParts(
                 cfg.vm_id,
                 platform,
@@ -103,7 +103,7 @@
                 clock,
                 self.health,
                 self.metrics,
-                self._live_now,
+                self._live_nodes,
             )
         )
         rng = random.Random()
@@ -119,7 +119,7 @@
             NodeSign(cfg.vm_id, cfg.data_center, cfg.peer),
             clock,
             lambda: self._nodes_tail.current_at,
-            self._on_nodes,
+            self._on_nodes_changed,
             self.health,
         )
         self.marks = MarkManager(
@@ -129,7 +129,7 @@
             clock,
             self.health,
             cfg.vm_id,
-            self._live_now,
+            self._live_nodes,
         )
         self.runner = JobRunner(
             RunnerDependencies(
@@ -149,34 +149,36 @@
             platform.orders(self.directory.get),
             self.lease,
             self.registrations.engines,
-            self._models,
-            self._lag,
-            self._one_version,
+            self._service_models,
+            self._version_lag,
+            self._requires_single_version,
             self.directory.record_version,
             clock,
             self.metrics,
         )
-        self._config = self._tail(platform.topic_operator, self._on_operator)
-        self._servers_tail = self._tail(
-            platform.topic_upstreams, self.registrations.take, _GATHER_UPSTREAMS
+        self._config_tail = self._make_tail(platform.topic_operator, self._on_operator)
+        self._upstreams_tail = self._make_tail(
+            platform.topic_upstreams, self.registrations.take, _UPSTREAMS_POLL_PAUSE
         )
-        self._nodes_tail = self._tail(platform.topic_nodes, self.nodes.take, _GATHER_SIGNS)
-        self._lags = TrainerLags()
+        self._nodes_tail = self._make_tail(
+            platform.topic_nodes, self.nodes.take, _HEARTBEATS_POLL_PAUSE
+        )
+        self._trainer_lags = TrainerLags()
         self.jobs.book.listen(self._on_job)
         self.routes.listen(self._on_routes)
         self.directory.listen(self._on_registration)
         self.directory.listen_superseded(self.directs.abort_requests)
-        self.directory.membership.listen(self._on_members)
+        self.directory.membership.listen(self._on_membership_changed)
 
     @property
     def ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
-        loaded = self._config.loaded.is_set() and self._servers_tail.loaded.is_set()
-        loaded = loaded and self._holds_known()
+        """Return whether the load balancer should send callers to this gateway."""
+        loaded = self._config_tail.loaded.is_set() and self._upstreams_tail.loaded.is_set()
+        loaded = loaded and self._is_quarantine_ready()
         return not self.stopping and loaded and self.routes.table is not None and self.jobs.loaded
 
     def start(self) -> None:
-        """Open the ports and start the tasks."""
+        """Open the ports and start the background tasks; raises OSError if a port is in use."""
         self._started_at = self._clock.monotonic()
         context = GatewayContext(
             self._clock,
@@ -186,7 +188,7 @@
             self.dispatcher,
             self.jobs,
             random.Random(),
-            holds_known=self._holds_known,
+            quarantine_ready=self._is_quarantine_ready,
         )
         self._context = context
         limits = self._limits = InputLimits(
@@ -204,33 +206,33 @@
             ],
             log_function=leave_log_to_handlers,
         )
-        self._status = open_http_server(status, self._cfg.ready_listen, limits, self.metrics)
+        self._admin_server = open_http_server(status, self._cfg.ready_listen, limits, self.metrics)
         relay = Application(
             [(PATH_RELAY, RelayHandler, {"log": self.store})], log_function=leave_log_to_handlers
         )
         self._peers = open_http_server(relay, self._cfg.peer, limits, self.metrics)
-        self._servers += (self._callers, self._peers)
-        for tail in (*self._first_tails(), self.lease.tail):
-            self._spawn(tail.async_run())
-        self._spawn(self.quarantine.async_run())
-        for part in self.jobs.tails:
-            self._spawn(self._async_follow(part))
-        self._spawn(self.marks.async_run())
-        self._spawn(self.nodes.async_run())
-        self._spawn(self.runner.async_run())
-        self._spawn(self.lease.async_run())
-        self._spawn(self.version_scheduler.async_run())
-        self._spawn(self._async_tick())
+        self._http_servers += (self._callers, self._peers)
+        for tail in (*self._startup_tails(), self.lease.tail):
+            self._start_task(tail.async_run())
+        self._start_task(self.quarantine.async_run())
+        for partition_tail in self.jobs.tails:
+            self._start_task(self._async_tail_partition(partition_tail))
+        self._start_task(self.marks.async_run())
+        self._start_task(self.nodes.async_run())
+        self._start_task(self.runner.async_run())
+        self._start_task(self.lease.async_run())
+        self._start_task(self.version_scheduler.async_run())
+        self._start_task(self._async_expire_registrations())
         _LOGGER.info("started", vm_id=self._cfg.vm_id, data_center=self._cfg.data_center)
 
     def apply_settings(self, cfg: GatewaySettings) -> None:
-        """Take changed settings into force; addresses hold until the next start."""
+        """Apply changed settings; changed addresses take effect at the next start."""
         set_level(Level[cfg.log_level.upper()])
         self.lease.set_length(cfg.lease)
         self._cfg = cfg
 
     async def async_stop(self) -> StopOutcome:
-        """Fail the ready check, hand work over, wait for the balancer, finish what is in flight."""
+        """Fail the readiness check, hand over work, wait for the load balancer and drain requests."""
         self.stopping = True
         self._context.stopping = True
         self.runner.stopping = True
@@ -242,15 +244,15 @@
             self.nodes,
             self.store.end_reads,
             lambda: self.runner.busy,
-            self._on_close,
+            self._mark_closed,
         )
         return await async_stop_gateway(parts, self._cfg.stop_timeout, self._clock)
 
-    def _on_close(self) -> None:
+    def _mark_closed(self) -> None:
         self._context.closed = True
 
     async def async_close(self) -> None:
-        """End the tasks."""
+        """Cancel the background tasks and close the components."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -259,16 +261,16 @@
         await self.quarantine.async_close()
         await self.version_scheduler.async_close()
 
-    def _first_tails(self) -> tuple[KeyedTail, ...]:
-        """Return what is read before plain requests and jobs can be served as they should."""
-        return (self._config, self._servers_tail, self._nodes_tail, self._holds_tail)
+    def _startup_tails(self) -> tuple[KeyedTail, ...]:
+        """Return the tails that have to be loaded before requests and jobs can be served."""
+        return (self._config_tail, self._upstreams_tail, self._nodes_tail, self._quarantine_tail)
 
-    def _holds_known(self) -> bool:
-        """Tell whether held requests are known, or could not be read for so long that others must be served."""
+    def _is_quarantine_ready(self) -> bool:
+        """Return whether the held requests are loaded, or loading them has timed out."""
         now = self._clock.monotonic()
-        return self._holds_tail.loaded.is_set() or now - self._started_at >= _HOLDS_PATIENCE
+        return self._quarantine_tail.loaded.is_set() or now - self._started_at >= _HOLDS_TIMEOUT
 
-    def _live_now(self) -> Collection[str]:
+    def _live_nodes(self) -> Collection[str]:
         return self.nodes.live(self._clock.monotonic())
 
     def _relay_peers(self) -> list[str]:
@@ -278,38 +280,37 @@
             if sign.peer and not sign.stopping and sign.node != self._cfg.vm_id
         ]
 
-    def _tail(self, topic: str, on_key: Any, gather: timedelta = timedelta()) -> KeyedTail:
-        return KeyedTail(self.store, topic, self._clock, self.health, on_key, gather)
+    def _make_tail(self, topic: str, on_key: Any, poll_pause: timedelta = timedelta()) -> KeyedTail:
+        return KeyedTail(self.store, topic, self._clock, self.health, on_key, poll_pause)
 
-    async def _async_follow(self, tail: PartitionTail) -> None:
-        """Follow a partition of jobs from its mark on, once plain requests can be served.
+    async def _async_tail_partition(self, tail: PartitionTail) -> None:
+        """Read a partition of jobs from the offset in its mark, once plain requests can be served.
 
-        After a start everywhere at once, callers wait for routes and upstreams, some milliseconds of
-        reading; decoding the jobs of the last minutes before them takes ten times that.
+        Callers wait for routes and upstreams, which load in a tenth of the time for recent jobs.
         """
-        for first in self._first_tails():
+        for startup_tail in self._startup_tails():
             try:
-                async with asyncio.timeout(_PLAIN_FIRST.total_seconds()):
-                    await first.loaded.wait()
+                async with asyncio.timeout(_STARTUP_TAIL_TIMEOUT.total_seconds()):
+                    await startup_tail.loaded.wait()
             except TimeoutError:
                 break
         await self.marks.loaded.wait()
         await tail.async_run()
 
-    def _spawn(self, work: Coroutine[Any, Any, Any]) -> None:
-        task = asyncio.ensure_future(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, Any]) -> None:
+        task = asyncio.ensure_future(coroutine)
         task.add_done_callback(tell_failure)
         self._tasks.append(task)
 
-    async def _async_tick(self) -> None:
+    async def _async_expire_registrations(self) -> None:
         while True:
-            await self._clock.async_sleep(_TICK)
+            await self._clock.async_sleep(_EXPIRY_INTERVAL)
             self.directory.expire()
 
     def _on_operator(self, record: KeyedRecord) -> None:
         read = self._platform.read_operator(record)
         if isinstance(read, Err):
-            # What was in force stays in force; the operator's next record may be whole again.
+            # The previous configuration stays active until the operator publishes a valid record.
             detail = read.unwrap_err()
             self.health.unsound("operator_record_unreadable", key=record.key, detail=detail)
             return
@@ -322,9 +323,8 @@
     def _on_routes(self, table: RouteTable) -> None:
         self._limits.max_body_bytes = table.limits.body_bytes
         self._limits.max_header_bytes = table.limits.header_bytes
-        for server in self._servers:
-            # Callers may rest on a connection up to the limit; closed sooner, their next request
-            # would be lost.
+        for server in self._http_servers:
+            # Closing an idle connection before this limit could lose the caller's next request.
             server.conn_params.header_timeout = table.limits.idle_timeout.total_seconds()
         _LOGGER.info("config_applied", version=table.version, routes=len(table.routes))
         self.directs.update_concurrency()
@@ -332,39 +332,39 @@
 
     def _on_registration(self, row: Registration) -> None:
         if self.routes.set_slots(row.service, row.slots):
-            # The lane gives turns by the new number; what the ways do not let run would wait unseen in them.
+            # Links with the old limit would queue requests without the scheduler seeing them.
             self.directs.update_concurrency()
 
-    def _on_members(self) -> None:
+    def _on_membership_changed(self) -> None:
         self.links.apply(self.directory.membership)
         self._wake()
 
-    def _on_nodes(self) -> None:
+    def _on_nodes_changed(self) -> None:
         self.runner.wake()
 
     def _wake(self) -> None:
         self.dispatcher.wake()
         self.runner.wake()
 
-    def _models(self, service: str) -> tuple[str, ...]:
+    def _service_models(self, service: str) -> tuple[str, ...]:
         table = self.routes.table
         engine = None if table is None else table.services.get(service)
         return () if engine is None else engine.models
 
-    def _lag(self, model: str) -> int:
-        """Return how many versions before the named one the model's trainer allows."""
-        return self._lags.allowed_lag(
+    def _version_lag(self, model: str) -> int:
+        """Return how many versions behind the requested one the model's trainer accepts."""
+        return self._trainer_lags.allowed_lag(
             model, self.version_scheduler.requested_versions.get(model, 0)
         )
 
     def _on_job(self, state: JobState) -> None:
         job = state.head
         if job.min_version is not None and not state.listed and not state.ended:
-            named = self.version_scheduler.requested_versions.get(job.model, 0)
-            self._lags.record_job(job.model, job.min_version, named)
+            requested = self.version_scheduler.requested_versions.get(job.model, 0)
+            self._trainer_lags.record_job(job.model, job.min_version, requested)
 
-    def _one_version(self, service: str) -> bool:
-        """Tell whether some route wants each text made by one version."""
+    def _requires_single_version(self, service: str) -> bool:
+        """Return whether a route of the service requires single-version texts."""
         table = self.routes.table
         routes = () if table is None else table.routes
         return any(
@@ -377,9 +377,9 @@
     gateway = GatewayProcess(cfg, UsersPlatform(cfg.store), SystemClock())
     shutdown = Shutdown(gateway.async_stop, cfg.stop_timeout, gateway.metrics)
     shutdown.install()
-    # Modules and parts live as long as the process. Walked through again with each full collection, some 50,000
-    # objects cost 40 ms at a time, the first one while the jobs of the last minutes are read: 22 us for each
-    # result instead of 4 (`script/bench fold`).
+    # Modules and components live as long as the process. Each full garbage collection would traverse
+    # these 50,000 objects or so, which takes 40 ms. The first one would run while recent jobs are
+    # read, which would take 22 us per result instead of 4.
     gc.freeze()
     try:
         gateway.start()
@@ -388,13 +388,13 @@
         return ExitCode.UNAVAILABLE
     watch = SettingsWatch(path, cfg, gateway.apply_settings, SystemClock())
     watch.install()
-    watching = asyncio.ensure_future(watch.async_run())
+    watch_task = asyncio.ensure_future(watch.async_run())
     outcome = await shutdown.async_wait()
-    watching.cancel()
+    watch_task.cancel()
     await gateway.async_close()
     return outcome.exit_code
 
 
 def run(cfg: GatewaySettings, path: str) -> int:
-    """Run a gateway until it is told to stop; return the exit code."""
+    """Run a gateway until it receives a stop signal; return the exit code."""
     return asyncio.run(_async_run(cfg, path))
--- a/cranberryline/gateway/handler.py
+++ b/cranberryline/gateway/handler.py
@@ -1,4 +1,4 @@
-"""What all handlers of the gateway's callers share: refusals, ids, the end of an answer."""
+"""Base class of the handlers for callers, and the readiness handler."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
 
 @attrs.define
 class GatewayContext:
-    """What the handlers share."""
+    """Dependencies and state that the handlers share."""
 
     clock: Clock
     metrics: Metrics
@@ -40,62 +40,66 @@
     dispatcher: Dispatcher
     jobs: JobService
     rng: random.Random
-    hedges: HedgeBudget = attrs.field(factory=HedgeBudget)
-    holds_known: Callable[[], bool] = lambda: True
+    hedge_budget: HedgeBudget = attrs.field(factory=HedgeBudget)
+    quarantine_ready: Callable[[], bool] = lambda: True
     stopping: bool = False
-    # Set when a stop closes what is left: a request that ends then was cut by us, not left by its caller.
+    # Set when a stop closes the remaining connections. Requests that end afterwards were cut by the
+    # gateway, not disconnected by their callers.
     closed: bool = False
 
 
 class ReadyHandler(RequestHandler):
-    """Answer whether new connections should come here."""
+    """Readiness check of the load balancer."""
 
     def initialize(self, ready: Callable[[], bool]) -> None:
-        """Take the question."""
-        self._ready = ready
+        """Set the function that returns whether the gateway is ready."""
+        self._is_ready = ready
 
     def get(self) -> None:
-        """Answer 200 or 503."""
-        good = self._ready()
-        self.set_status(HTTPStatus.OK if good else HTTPStatus.SERVICE_UNAVAILABLE)
-        self.finish({"ready": good})
+        """Respond with 200 if the gateway is ready, else with 503."""
+        is_ready = self._is_ready()
+        self.set_status(HTTPStatus.OK if is_ready else HTTPStatus.SERVICE_UNAVAILABLE)
+        self.finish({"ready": is_ready})
 
 
 class CallerHandler(ProblemHandler):
-    """One call of a caller."""
+    """Base class of the handlers of a caller's request."""
 
     SUPPORTED_METHODS = ("GET", "HEAD", "POST", "DELETE", "PATCH", "PUT", "OPTIONS")
 
     def initialize(self, context: GatewayContext) -> None:
-        """Take the shared context."""
+        """Set the shared context."""
         self.context = context
 
     def prepare(self) -> None:
-        """Start the request's time."""
-        self._began = self.context.clock.monotonic()
-        self._work: asyncio.Task[Any] | None = None
-        self._first_ms = 0
+        """Start the clock of the request, or end it if its connection has closed already."""
+        self._started_at = self.context.clock.monotonic()
+        self._task: asyncio.Task[Any] | None = None
+        self._response_head_ms = 0
         self.request_id = ""
         if break_off_if_closed(self):
             _LOGGER.info("connection_closed_before_work", path=self.request.path)
 
     def clear(self) -> None:
-        """Start an answer without headers: all of them are the upstream's or a refusal's."""
+        """Reset the response to one without tornado's default headers.
+
+        All headers come from the upstream or from the refusal.
+        """
         self._headers = HTTPHeaders()
         self._write_buffer = []
         self._status_code = HTTPStatus.OK
         self._reason = HTTPStatus.OK.phrase
 
     def compute_etag(self) -> None:
-        """Leave entity tags to the upstream."""
+        """Return no entity tag; the upstream sets it."""
         return
 
     def on_connection_close(self) -> None:
-        """Stop working for a caller that has gone."""
-        if self._work is not None:
-            self._work.cancel()
+        """Cancel the work for a caller that has disconnected."""
+        if self._task is not None:
+            self._task.cancel()
 
-    def _refuse_later(self, reason: str) -> None:
+    def _refuse_with_retry(self, reason: str) -> None:
         self.context.metrics.refuse(reason)
         self._refuse(HTTPStatus.SERVICE_UNAVAILABLE, reason, retry_after=RETRY_AFTER)
 
@@ -107,7 +111,10 @@
         detail: str = "",
         retry_after: timedelta | None = None,
     ) -> None:
-        """Write a final answer without a result, and say in the log why."""
+        """Send a problem response and log the reason.
+
+        `ran` says whether an upstream may have run the request.
+        """
         _LOGGER.info(
             "request_refused",
             request_id=self.request_id,
@@ -117,7 +124,7 @@
             ran=ran,
             detail=detail,
             config=self._config_version(),
-            ms=self._ms(),
+            ms=self._elapsed_ms(),
         )
         self.clear()
         self.set_status(status)
@@ -135,7 +142,7 @@
     def _finish_body(self, body: bytes) -> None:
         self.set_header("Content-Length", str(len(body)))
         if self.context.stopping:
-            # A request sent on a kept connection in the moment in which it closes would be lost.
+            # A request that the caller sends on a keep-alive connection while it closes is lost.
             self.set_header("Connection", "close")
         self.finish(body)
 
@@ -143,5 +150,5 @@
         table = self.context.routes.table
         return 0 if table is None else table.version
 
-    def _ms(self) -> int:
-        return in_milliseconds(self.context.clock.monotonic() - self._began)
+    def _elapsed_ms(self) -> int:
+        return in_milliseconds(self.context.clock.monotonic() - self._started_at)
--- a/cranberryline/gateway/ingress.py
+++ b/cranberryline/gateway/ingress.py
@@ -1,4 +1,4 @@
-"""HTTP handlers of the gateway: requests by route, batch jobs, readiness."""
+"""HTTP handler for the requests of callers: forwards them by route, or handles batch jobs."""
 
 import asyncio
 from datetime import timedelta
@@ -28,41 +28,41 @@
 
 from .handler import RETRY_AFTER
 from .job_calls import JobCalls
-from .streams import StreamAnswer, StreamRun
+from .streams import StreamForwarder, StreamOutput
 
 __all__ = ["IngressHandler"]
 
 _LOGGER = get_logger(__name__)
 
-_DEFAULT_TIME = timedelta(seconds=30)
-_START_PATIENCE = timedelta(milliseconds=400)
-_START_LOOK = timedelta(milliseconds=10)
-# What the server of the answering process sets by itself is not passed on either.
+_DEFAULT_TIMEOUT = timedelta(seconds=30)
+_STARTUP_TIMEOUT = timedelta(milliseconds=400)
+_STARTUP_POLL_INTERVAL = timedelta(milliseconds=10)
+# Besides hop-by-hop headers, those that the HTTP server of each process sets itself.
 _DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {"date", "server"}
 
 
 class IngressHandler(JobCalls):
-    """Serve every call of a caller."""
+    """Serves all requests of callers."""
 
     async def async_handle(self) -> None:
-        """Serve the call, or stop when its caller leaves."""
-        self._work = asyncio.current_task()
+        """Serve the request until it is finished or cancelled by a disconnect."""
+        self._task = asyncio.current_task()
         try:
             await self._async_serve()
         except asyncio.CancelledError:
-            self._tell_cut()
+            self._log_disconnect()
             break_off(self)
         finally:
-            self._work = None
+            self._task = None
 
-    def _tell_cut(self) -> None:
-        """Say whether the caller left, or a stop closed the connection under the request."""
+    def _log_disconnect(self) -> None:
+        """Log whether the caller disconnected, or a stop closed the connection during the request."""
         if self.context.closed:
             self.context.metrics.fail("stop_cut")
-            _LOGGER.error("stop_cut", request_id=self.request_id, ms=self._ms())
+            _LOGGER.error("stop_cut", request_id=self.request_id, ms=self._elapsed_ms())
             return
         self.context.metrics.fail(RefusalReason.CALLER_LEFT.value)
-        _LOGGER.info("caller_left", request_id=self.request_id, ms=self._ms())
+        _LOGGER.info("caller_left", request_id=self.request_id, ms=self._elapsed_ms())
 
     get = head = post = delete = patch = put = options = async_handle
 
@@ -77,18 +77,21 @@
             case JobRead() as call:
                 await self._async_read_job(call)
             case ItemBodyRead() as call:
-                await self._async_read_body(call)
+                await self._async_read_item_body(call)
             case JobEnd() as call:
                 await self._async_end_job(call)
             case PlainCall() as call:
-                await self._async_route(call)
+                await self._async_serve_route(call)
 
-    async def _async_route(self, call: PlainCall) -> None:
-        """Find the route; without any configuration nothing can be said to be missing."""
+    async def _async_serve_route(self, call: PlainCall) -> None:
+        """Serve a request by its route.
+
+        Before a configuration is loaded the response is 503, as it is unknown which routes exist.
+        """
         self.request_id = call.request_id
-        table = await self._async_table()
+        table = await self._async_wait_for_routes()
         if table is None:
-            self._refuse_later(RefusalReason.NOT_READY.value)
+            self._refuse_with_retry(RefusalReason.NOT_READY.value)
             return
         host = self.request.headers.get("Host", "").partition(":")[0]
         route = table.match(host, self.request.path)
@@ -97,104 +100,109 @@
             return
         self.context.metrics.requests.labels(route.kind.value).inc()
         if route.kind is RouteKind.JOB:
-            await self._async_submit(call, host)
+            await self._async_submit_job(call, host)
             return
         if route.kind is RouteKind.STREAM:
-            await self._async_stream(call, route)
+            await self._async_forward_stream(call, route)
             return
-        await self._async_pass_on(call, route)
+        await self._async_forward(call, route)
 
-    async def _async_table(self) -> RouteTable | None:
-        """Return the routes in force; right after a start, wait shortly for them and for requests that are held.
+    async def _async_wait_for_routes(self) -> RouteTable | None:
+        """Return the active routes, or None if they are not loaded in time.
 
-        All nodes may have been started at once. Refused, the caller comes back after what is several
-        times the moment in which the routes are read.
+        Shortly after startup, waits for the routes and the quarantine. All gateways may have been
+        started at once, and a refused caller retries only after several times the time that
+        loading the routes takes.
         """
-        give_up = self._began + _START_PATIENCE
+        give_up_at = self._started_at + _STARTUP_TIMEOUT
         ctx = self.context
-        while ctx.routes.table is None or not ctx.holds_known():
-            if ctx.clock.monotonic() >= give_up:
+        while ctx.routes.table is None or not ctx.quarantine_ready():
+            if ctx.clock.monotonic() >= give_up_at:
                 break
-            await ctx.clock.async_sleep(_START_LOOK)
+            await ctx.clock.async_sleep(_STARTUP_POLL_INTERVAL)
         return ctx.routes.table
 
-    async def _async_pass_on(self, call: PlainCall, route: Route) -> None:
-        """Send the request until an upstream answers it whole, and pass that answer on."""
+    async def _async_forward(self, call: PlainCall, route: Route) -> None:
+        """Send the request until an upstream returns a complete response, and forward it."""
         ctx = self.context
-        patience = min(call.time_left or _DEFAULT_TIME, route.timeout)
-        deadline = self._began + patience
+        timeout = min(call.time_left or _DEFAULT_TIMEOUT, route.timeout)
+        deadline = self._started_at + timeout
         outcome: Result[AttemptSink, Refusal]
         if route.repeatable:
-            repeated = HedgedRequest(
+            hedged = HedgedRequest(
                 ctx.dispatcher,
-                ctx.hedges,
+                ctx.hedge_budget,
                 ctx.metrics,
                 lambda avoid: self._upstream_request(route, deadline, avoid, 1),
                 hedge_delay(route.goal),
                 max(1, route.max_attempts),
                 clock=ctx.clock,
             )
-            outcome = await repeated.async_run()
+            outcome = await hedged.async_run()
         else:
             sink = AttemptSink(ctx.clock)
             req = self._upstream_request(route, deadline, frozenset(), max(1, route.max_attempts))
-            once = await ctx.dispatcher.async_run(req, sink)
-            outcome = Ok(sink) if isinstance(once, Ok) else Err(once.unwrap_err())
+            result = await ctx.dispatcher.async_run(req, sink)
+            outcome = Ok(sink) if isinstance(result, Ok) else Err(result.unwrap_err())
         if isinstance(outcome, Err):
             self._write_refusal(outcome.unwrap_err(), route)
             return
-        self._write_answer(outcome.unwrap(), route)
+        self._write_response(outcome.unwrap(), route)
 
-    async def _async_stream(self, call: PlainCall, route: Route) -> None:
-        """Pass a stream on as it comes; one that breaks off must look broken to its caller."""
+    async def _async_forward_stream(self, call: PlainCall, route: Route) -> None:
+        """Forward a stream as it arrives.
+
+        If it ends early, the connection is closed so that the caller does not take it for complete.
+        """
         ctx = self.context
-        deadline = self._began + (call.time_left or _DEFAULT_TIME)
+        deadline = self._started_at + (call.time_left or _DEFAULT_TIMEOUT)
 
-        def make(last_event: int | None, avoid: frozenset[str]) -> CallerRequest:
+        def make_request(last_event: int | None, avoid: frozenset[str]) -> CallerRequest:
             req = self._upstream_request(route, deadline, avoid, 1)
             headers = ctx.edge.resume_headers(req.headers, last_event)
-            # Not repeated by the dispatcher, but stopped at the upstream when the caller leaves.
+            # Makes the upstream cancel the request when the caller disconnects. The dispatcher does
+            # not retry it, as it is allowed one attempt.
             return attrs.evolve(req, headers=headers, idempotent=True)
 
-        run = StreamRun(
+        forwarder = StreamForwarder(
             ctx.dispatcher,
-            StreamAnswer(self._async_stream_head, self._async_stream_events),
-            make,
+            StreamOutput(self._async_stream_head, self._async_stream_events),
+            make_request,
             ctx.edge.version_field,
             route.resumable,
             max(1, route.max_attempts),
             call.last_event,
         )
-        ended = await run.async_run()
-        if isinstance(ended, Ok):
-            sink = ended.unwrap()
-            if run.begun:
+        outcome = await forwarder.async_run()
+        if isinstance(outcome, Ok):
+            sink = outcome.unwrap()
+            if forwarder.response_started:
                 await self.finish()
                 _LOGGER.info(
                     "stream_ended",
                     request_id=self.request_id,
                     route=route.name,
                     upstream=sink.upstream,
-                    first_ms=self._first_ms,
-                    ms=self._ms(),
+                    first_ms=self._response_head_ms,
+                    ms=self._elapsed_ms(),
                 )
                 return
-            answer = AttemptSink()
-            answer.upstream = sink.upstream
-            await answer.async_head(sink.status, sink.headers)
-            await answer.async_chunk(sink.body)
-            self._write_answer(answer, route)
+            response = AttemptSink()
+            response.upstream = sink.upstream
+            await response.async_head(sink.status, sink.headers)
+            await response.async_chunk(sink.body)
+            self._write_response(response, route)
             return
-        refusal = ended.unwrap_err()
+        refusal = outcome.unwrap_err()
         if not refusal.response_started:
             self._write_refusal(refusal, route)
             return
         ctx.metrics.fail("stream_cut")
-        _LOGGER.warning("stream_cut", request_id=self.request_id, ms=self._ms())
+        _LOGGER.warning("stream_cut", request_id=self.request_id, ms=self._elapsed_ms())
         break_off(self)
 
     async def _async_stream_head(self, status: int, headers: HeaderPairs) -> None:
-        self._first_ms = self._ms()
+        self._response_head_ms = self._elapsed_ms()
         self.set_status(status)
         for name, value in headers:
             if name.lower() not in _DROPPED_HEADERS:
@@ -236,15 +244,15 @@
             credential=self.context.edge.credential(req.headers),
         )
 
-    def _write_answer(self, sink: AttemptSink, route: Route) -> None:
+    def _write_response(self, sink: AttemptSink, route: Route) -> None:
         self.set_status(sink.status)
         for name, value in sink.headers:
             if name.lower() not in _DROPPED_HEADERS:
                 self.add_header(name, value)
         self._finish_body(sink.body)
         self.context.metrics.answers.labels(route.kind.value).inc()
-        took = self.context.clock.monotonic() - self._began
-        self.context.metrics.latency.labels(route.kind.value).observe(took.total_seconds())
+        elapsed = self.context.clock.monotonic() - self._started_at
+        self.context.metrics.latency.labels(route.kind.value).observe(elapsed.total_seconds())
         _LOGGER.info(
             "request_answered",
             request_id=self.request_id,
@@ -252,20 +260,26 @@
             config=self._config_version(),
             upstream=sink.upstream,
             status=sink.status,
-            place_ms=None if sink.sent_at is None else in_milliseconds(sink.sent_at - self._began),
-            ms=self._ms(),
+            place_ms=(
+                None if sink.sent_at is None else in_milliseconds(sink.sent_at - self._started_at)
+            ),
+            ms=self._elapsed_ms(),
         )
 
     def _write_refusal(self, refusal: Refusal, route: Route) -> None:
-        """Give the final answer at once; only what was surely not run is told as a refusal."""
+        """Send a problem response.
+
+        It is counted as a refusal only if it is certain that no upstream ran the request.
+        """
         ctx = self.context
-        counted = ctx.metrics.refuse if refusal.ran is Ran.NO else ctx.metrics.fail
-        counted(refusal.reason.value)
+        count = ctx.metrics.refuse if refusal.ran is Ran.NO else ctx.metrics.fail
+        count(refusal.reason.value)
         status = refusal.status
         if refusal.ran is not Ran.NO:
-            # Both promise nothing; the caller learns whether its own time or an upstream ended it.
-            late = ctx.clock.monotonic() >= self._began + route.timeout
-            status = HTTPStatus.GATEWAY_TIMEOUT if late else HTTPStatus.BAD_GATEWAY
+            # Either status leaves open whether the request ran; 504 says that the timeout ended it,
+            # 502 that an upstream did.
+            timed_out = ctx.clock.monotonic() >= self._started_at + route.timeout
+            status = HTTPStatus.GATEWAY_TIMEOUT if timed_out else HTTPStatus.BAD_GATEWAY
         self._refuse(
             status,
             refusal.reason.value,
@@ -276,7 +290,10 @@
 
 
 def _retry_after(refusal: Refusal) -> timedelta | None:
-    """Return when to come back; a request that is held would be refused until its next trial."""
+    """Return the delay before a retry, None if the request may have run.
+
+    A request in quarantine is refused until its next trial.
+    """
     if refusal.ran is not Ran.NO:
         return None
     return refusal.retry_after if refusal.reason is RefusalReason.HELD else RETRY_AFTER
--- a/cranberryline/gateway/job_calls.py
+++ b/cranberryline/gateway/job_calls.py
@@ -1,4 +1,4 @@
-"""Calls about batch jobs."""
+"""HTTP calls about batch jobs."""
 
 import asyncio
 from datetime import timedelta
@@ -24,22 +24,24 @@
 
 
 class JobCalls(CallerHandler):
-    """Submit, read and end jobs."""
+    """Submits, reads and ends jobs."""
 
-    async def _async_submit(self, call: PlainCall, host: str) -> None:
+    async def _async_submit_job(self, call: PlainCall, host: str) -> None:
         ctx = self.context
         if self.request.method != "POST":
-            self._refuse(HTTPStatus.BAD_REQUEST, "bad_request", detail="a job is submitted by POST")
+            self._refuse(
+                HTTPStatus.BAD_REQUEST, "bad_request", detail="jobs are submitted with POST"
+            )
             return
         now = ctx.clock.now().timestamp()
         job = ctx.edge.read_job(call.request_id, host, self.request.path, self.request.body, now)
         if isinstance(job, Err):
             self._refuse(HTTPStatus.BAD_REQUEST, "bad_job", detail=job.unwrap_err())
             return
-        # Once the store has it the job is kept, whether or not its caller still waits.
-        taken = await asyncio.shield(ctx.jobs.async_submit(job.unwrap()))
-        if isinstance(taken, Err):
-            self._refuse_job(taken.unwrap_err())
+        # The job is kept once the store has it, so a disconnect of the caller must not cancel this.
+        submitted = await asyncio.shield(ctx.jobs.async_submit(job.unwrap()))
+        if isinstance(submitted, Err):
+            self._refuse_job_call(submitted.unwrap_err())
             return
         self._write_json(HTTPStatus.ACCEPTED, b"{}")
 
@@ -47,19 +49,19 @@
         self.request_id = call.job
         page = await self.context.jobs.async_read(call.job, call.after, min(call.wait, _MAX_WAIT))
         if isinstance(page, Err):
-            self._refuse_job(page.unwrap_err())
+            self._refuse_job_call(page.unwrap_err())
             return
         self._write_json(HTTPStatus.OK, self.context.edge.write_page(page.unwrap()))
 
-    async def _async_read_body(self, call: ItemBodyRead) -> None:
+    async def _async_read_item_body(self, call: ItemBodyRead) -> None:
         self.request_id = call.job
         found = await self.context.jobs.async_find(call.job)
         if isinstance(found, Err):
-            self._refuse_job(found.unwrap_err())
+            self._refuse_job_call(found.unwrap_err())
             return
         item = found.unwrap().item(call.item)
         if item is None:
-            self._refuse_job(JobRefused(JobProblem.UNKNOWN_ITEM))
+            self._refuse_job_call(JobRefused(JobProblem.UNKNOWN_ITEM))
             return
         self.set_header("Content-Type", "application/octet-stream")
         self._finish_body(item[1].body)
@@ -68,15 +70,15 @@
         self.request_id = call.job
         ended = await asyncio.shield(self.context.jobs.async_end(call.job))
         if isinstance(ended, Err):
-            self._refuse_job(ended.unwrap_err())
+            self._refuse_job_call(ended.unwrap_err())
             return
         self._write_json(HTTPStatus.OK, b"{}")
 
-    def _refuse_job(self, refused: JobRefused) -> None:
-        problem = refused.problem
+    def _refuse_job_call(self, refusal: JobRefused) -> None:
+        problem = refusal.problem
         status = _JOB_STATUS[problem]
-        later = refused.retry_after
-        if later is None and status is HTTPStatus.SERVICE_UNAVAILABLE:
-            later = RETRY_AFTER
+        retry_after = refusal.retry_after
+        if retry_after is None and status is HTTPStatus.SERVICE_UNAVAILABLE:
+            retry_after = RETRY_AFTER
         self.context.metrics.refuse(problem.value)
-        self._refuse(status, problem.value, retry_after=later)
+        self._refuse(status, problem.value, retry_after=retry_after)
--- a/cranberryline/gateway/no_log.py
+++ b/cranberryline/gateway/no_log.py
@@ -1,4 +1,4 @@
-"""The claims of idempotency keys that this edge does not carry."""
+"""A log port for gateways, which do not support claims of idempotency keys."""
 
 from datetime import timedelta
 from typing import Any
@@ -12,16 +12,27 @@
 
 
 class NoLog(LogPort):
-    """Refuse claims of idempotency keys: this edge carries none."""
+    """Refuses every call, so that no idempotency key can be claimed.
+
+    Execution stores claims of idempotency keys in a log service, which a gateway does not have.
+    """
 
     async def async_append(
         self, stream: str, records: list[tuple[str, dict[str, Any]]]
     ) -> Result[list[int], PlatformError]:
-        """Refuse."""
-        return Err(PlatformError(PlatformReason.REFUSED, "no log", may_have_run=False))
+        """Return an error."""
+        return Err(
+            PlatformError(
+                PlatformReason.REFUSED, "no log service is configured", may_have_run=False
+            )
+        )
 
     async def async_read(
         self, stream: str, start: int, limit: int = 500, wait: timedelta = timedelta()
     ) -> Result[LogPage, PlatformError]:
-        """Refuse."""
-        return Err(PlatformError(PlatformReason.REFUSED, "no log", may_have_run=False))
+        """Return an error."""
+        return Err(
+            PlatformError(
+                PlatformReason.REFUSED, "no log service is configured", may_have_run=False
+            )
+        )
--- a/cranberryline/gateway/nodes.py
+++ b/cranberryline/gateway/nodes.py
@@ -1,4 +1,4 @@
-"""The nodes that live: each writes a sign to the store, all read them."""
+"""Detects live nodes: each node writes heartbeats to the store and reads those of the others."""
 
 import random
 from collections.abc import Callable
@@ -19,21 +19,26 @@
 
 _LOGGER = get_logger(__name__)
 
-_SIGN_INTERVAL = timedelta(milliseconds=800)
-_SIGN_TIMEOUT = timedelta(milliseconds=900)
-_SIGN_AGAIN = timedelta(milliseconds=150)
-# Two signs and the time that a lost one takes to be written again. This node's own polls lag by up
-# to a second, so a dead node is known after some three.
+_HEARTBEAT_INTERVAL = timedelta(milliseconds=800)
+_HEARTBEAT_TIMEOUT = timedelta(milliseconds=900)
+_HEARTBEAT_RETRY_INTERVAL = timedelta(milliseconds=150)
+# Two intervals and the time to rewrite a lost heartbeat. This node's polls lag by up to a second, so
+# a dead node is detected after about three seconds.
 _DEAD_AFTER = timedelta(milliseconds=2200)
-# The store keeps the last sign of a node for good. After a start everywhere at once each of them is heard for the
-# first time, and a node that died minutes ago would be given its groups for another `_DEAD_AFTER`: items waited
-# 2.6 s of a step that is due in 7.5. Its sign is that much older than the newest one of all, which is told from an
-# outage, in which all grow old alike. Twice the five seconds by which the clocks of two VMs may differ.
+# The store keeps the last heartbeat of a node forever. After a restart of all nodes it is received for
+# the first time again, so a node that died minutes ago would be assigned groups for another
+# `_DEAD_AFTER`: items waited 2.6 s of a step that is due in 7.5 s. Such a heartbeat is older than the
+# newest one of any node; in an outage all heartbeats age alike. The limit is twice the 5 s by which
+# the clocks of two VMs may differ.
 _STALE_AFTER = timedelta(seconds=10)
 
 
 class NodeSign(msgspec.Struct, array_like=True, frozen=True):
-    """A node's sign of life; `written` is wall-clock time in seconds, 0 from a node that does not tell."""
+    """A heartbeat of a node.
+
+    `peer` is the address at which other nodes reach it. `written` is the Unix time in seconds, 0 if
+    the node does not send it.
+    """
 
     node: str
     data_center: str
@@ -42,26 +47,33 @@
     written: float = 0.0
 
 
-_SIGNS = msgspec.msgpack.Decoder(NodeSign)
+_DECODER = msgspec.msgpack.Decoder(NodeSign)
 
 
 @attrs.frozen
-class _Seen:
-    """A node's last sign, when it was heard, and since when the node has been stopping."""
+class _NodeState:
+    """The last heartbeat of a node.
 
-    sign: NodeSign
-    heard: timedelta
+    `received_at` and `stopping`, the time at which the node announced its stop, are on the monotonic
+    clock of this node.
+    """
+
+    heartbeat: NodeSign
+    received_at: timedelta
     stopping: timedelta | None
 
 
 class NodeBook:
-    """Write this node's sign, and know which nodes live."""
+    """Writes the heartbeats of this node and tracks which nodes are alive.
+
+    `current_at` returns the time up to which all heartbeats in the store have been read.
+    """
 
     def __init__(
         self,
         log: SharedLog,
         topic: str,
-        sign: NodeSign,
+        heartbeat: NodeSign,
         clock: Clock,
         current_at: Callable[[], timedelta | None],
         on_change: Callable[[], None],
@@ -70,96 +82,104 @@
         self.stopping = False
         self._log = log
         self._topic = topic
-        self._sign = sign
+        self._heartbeat = heartbeat
         self._clock = clock
         self._current_at = current_at
         self._on_change = on_change
         self._health = health
-        self._seen: dict[str, _Seen] = {}
-        self._live: frozenset[str] = frozenset()
+        self._states: dict[str, _NodeState] = {}
+        self._last_live: frozenset[str] = frozenset()
 
     def live(self, since: timedelta) -> frozenset[str]:
-        """Return the nodes that do the work that came at `since`.
+        """Return the nodes that are responsible for work that arrived at `since` (monotonic).
 
-        A node is silent for the time between its last sign and the last moment at which this node
-        was sure to have heard all: cut off from the store it would else take all others for dead,
+        The age of a heartbeat is counted up to the time at which this node had read everything from
+        the store. Otherwise a node that is cut off from the store would consider all others dead
         and run every group of every job by itself.
 
-        A node that stops takes no new work and finishes what it has: work that came before its
-        notice stays with it until it is silent, or other nodes would run all of it a second time.
+        A stopping node gets no new work. Work that arrived before it announced the stop stays
+        assigned to it while it sends heartbeats, or other nodes would run it a second time.
         """
-        sure = self._current_at()
-        oldest = self._newest_written() - _STALE_AFTER.total_seconds()
-        there = {
-            node: seen
-            for node, seen in self._seen.items()
-            if (sure is None or sure - seen.heard < _DEAD_AFTER)
-            and not 0 < seen.sign.written < oldest
+        current_at = self._current_at()
+        oldest = self._newest_heartbeat_time() - _STALE_AFTER.total_seconds()
+        alive = {
+            node: state
+            for node, state in self._states.items()
+            if (current_at is None or current_at - state.received_at < _DEAD_AFTER)
+            and not 0 < state.heartbeat.written < oldest
         }
-        self._note(frozenset(there))
+        self._log_changes(frozenset(alive))
         return frozenset(
-            node for node, seen in there.items() if seen.stopping is None or seen.stopping > since
+            node
+            for node, state in alive.items()
+            if state.stopping is None or state.stopping > since
         )
 
-    def _newest_written(self) -> float:
-        return max((seen.sign.written for seen in self._seen.values()), default=0.0)
+    def _newest_heartbeat_time(self) -> float:
+        return max((state.heartbeat.written for state in self._states.values()), default=0.0)
 
-    def _note(self, live: frozenset[str]) -> None:
-        if live != self._live:
-            came, went = sorted(live - self._live), sorted(self._live - live)
-            _LOGGER.info("nodes_live", came=came, went=went)
-            self._live = live
+    def _log_changes(self, live: frozenset[str]) -> None:
+        if live != self._last_live:
+            joined, left = sorted(live - self._last_live), sorted(self._last_live - live)
+            _LOGGER.info("nodes_live", came=joined, went=left)
+            self._last_live = live
 
     def signs(self) -> list[NodeSign]:
-        """Return the last sign of each node that may still live."""
-        return [seen.sign for seen in self._seen.values()]
+        """Return the last heartbeat of each known node, which may be dead by now."""
+        return [state.heartbeat for state in self._states.values()]
 
     def take(self, record: KeyedRecord) -> None:
-        """Take a sign from the store; one that is not sound is passed over, and the node's last one holds."""
+        """Apply a heartbeat from the store; an empty value removes the node.
+
+        An invalid heartbeat is counted and ignored; the node's previous one stays in effect.
+        """
         if not record.value:
-            self._seen.pop(record.key, None)
+            self._states.pop(record.key, None)
             return
-        read = _read_sign(record)
+        read = _decode_heartbeat(record)
         if isinstance(read, Err):
             self._health.unsound("node_sign_unreadable", key=record.key, detail=read.unwrap_err())
             return
-        sign = read.unwrap()
+        heartbeat = read.unwrap()
         now = self._clock.monotonic()
-        known = self._seen.get(record.key)
-        stopping = now if sign.stopping else None
-        if known is not None and known.stopping is not None and sign.stopping:
-            stopping = known.stopping
-        self._seen[record.key] = _Seen(sign, now, stopping)
-        if known is None or known.sign.stopping != sign.stopping:
+        previous = self._states.get(record.key)
+        stopping = now if heartbeat.stopping else None
+        if previous is not None and previous.stopping is not None and heartbeat.stopping:
+            stopping = previous.stopping
+        self._states[record.key] = _NodeState(heartbeat, now, stopping)
+        if previous is None or previous.heartbeat.stopping != heartbeat.stopping:
             self._on_change()
 
     async def async_run(self) -> None:
-        """Write signs until cancelled."""
+        """Write heartbeats until cancelled."""
         while True:
             written = await self.async_sign()
-            pause = _SIGN_INTERVAL if written else _SIGN_AGAIN
+            pause = _HEARTBEAT_INTERVAL if written else _HEARTBEAT_RETRY_INTERVAL
             await self._clock.async_sleep(pause * (0.9 + 0.2 * random.random()))
 
     async def async_sign(self) -> bool:
-        """Write one sign; False when it is not sure that it stands."""
+        """Write one heartbeat; return whether the store confirmed it."""
         written = self._clock.now().timestamp()
-        sign = msgspec.structs.replace(self._sign, stopping=self.stopping, written=written)
-        record = self._log.pack_keyed(sign.node, msgspec.msgpack.encode(sign))
-        return (await self._log.async_append(self._topic, 0, [record], _SIGN_TIMEOUT)).is_ok()
+        heartbeat = msgspec.structs.replace(
+            self._heartbeat, stopping=self.stopping, written=written
+        )
+        record = self._log.pack_keyed(heartbeat.node, msgspec.msgpack.encode(heartbeat))
+        return (await self._log.async_append(self._topic, 0, [record], _HEARTBEAT_TIMEOUT)).is_ok()
 
 
-def _read_sign(record: KeyedRecord) -> Result[NodeSign, str]:
-    """Read a sign that its own node wrote and whose peer address can be called.
+def _decode_heartbeat(record: KeyedRecord) -> Result[NodeSign, str]:
+    """Decode a heartbeat; the error says why it is invalid.
 
-    Peers are called for the store when it does not answer this node. An address that is none would raise
-    in each call to the store just then, when nothing else is left.
+    It has to be of the node under whose key it is stored, and its peer address has to be valid.
+    When the store does not answer this node, calls to the store are relayed through peers; an
+    invalid address would make each of them raise in that situation.
     """
-    read = decode_msgpack(record.value, _SIGNS)
+    read = decode_msgpack(record.value, _DECODER)
     if isinstance(read, Err):
         return read
-    sign = read.unwrap()
-    if sign.node != record.key:
-        return Err("the sign of another node")
-    if sign.peer and Address().parse(sign.peer).is_err():
-        return Err("no address of a peer")
-    return Ok(sign)
+    heartbeat = read.unwrap()
+    if heartbeat.node != record.key:
+        return Err("heartbeat belongs to another node")
+    if heartbeat.peer and Address().parse(heartbeat.peer).is_err():
+        return Err("peer address is invalid")
+    return Ok(heartbeat)
--- a/cranberryline/gateway/streams.py
+++ b/cranberryline/gateway/streams.py
@@ -1,4 +1,4 @@
-"""Pass a stream of events on to its caller, going on at another upstream where that is allowed."""
+"""Forwards an event stream to its caller and resumes it at another upstream if allowed."""
 
 from collections.abc import Awaitable, Callable
 
@@ -12,107 +12,127 @@
 from cranberryline.jobs.events import EventReader
 from cranberryline.jobs.ports import HeaderPairs
 
-__all__ = ["StreamAnswer", "StreamRun"]
+__all__ = ["StreamForwarder", "StreamOutput"]
 
 STATUS_OK = 200
-_MAX_TURNED_AWAY = 3
-_FINAL = (RefusalReason.OVERLOADED, RefusalReason.HELD)
+# A rejected request has not run, so rejections do not count as attempts.
+_MAX_REJECTIONS = 3
+_FINAL_REASONS = (RefusalReason.OVERLOADED, RefusalReason.HELD)
 
 
 @attrs.define
-class StreamAnswer:
-    """Where a stream goes: its head once, then whole events."""
+class StreamOutput:
+    """Callbacks that send a stream to the caller: its head once, then complete events."""
 
-    head: Callable[[int, HeaderPairs], Awaitable[None]]
-    events: Callable[[bytes], Awaitable[None]]
+    send_head: Callable[[int, HeaderPairs], Awaitable[None]]
+    send_events: Callable[[bytes], Awaitable[None]]
 
 
-class _Sink(ResponseSink):
-    """Take one upstream's part of a stream, or its whole answer if it is no stream."""
+class _UpstreamSink(ResponseSink):
+    """Receives one upstream's part of a stream.
 
-    def __init__(self, run: "StreamRun") -> None:
-        self._run = run
-        self._reader = EventReader(run.version_field)
+    A response with another status than 200 is no stream and is collected in `body`.
+    """
+
+    def __init__(self, forwarder: "StreamForwarder") -> None:
+        self._forwarder = forwarder
+        self._reader = EventReader(forwarder.version_field)
         self.status = 0
         self.headers: HeaderPairs = ()
         self.body = b""
         self.upstream = ""
-        self.broken = False
+        self.malformed = False
 
     @property
-    def whole(self) -> bool:
-        """Tell whether the answer ended behind a whole event."""
-        return self.status == STATUS_OK and self._reader.at_event_boundary and not self.broken
+    def complete(self) -> bool:
+        """Return whether the response was a stream that ended after a complete event."""
+        return self.status == STATUS_OK and self._reader.at_event_boundary and not self.malformed
 
     def dispatched(self, upstream: str) -> None:
-        """Note the upstream of the attempt that begins."""
+        """Store the upstream of the attempt that starts."""
         self.upstream = upstream
 
     async def async_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> bool:
-        """Pass the first upstream's head on; a caller sees one answer with one head."""
+        """Forward the head of the first upstream only, as the caller gets a single response."""
         self.status, self.headers = status, headers
-        if status == STATUS_OK and not self._run.begun:
-            self._run.begun = True
-            await self._run.answer.head(status, headers)
+        if status == STATUS_OK and not self._forwarder.response_started:
+            self._forwarder.response_started = True
+            await self._forwarder.output.send_head(status, headers)
         return True
 
     async def async_chunk(self, data: bytes, last: bool = False) -> None:
-        """Pass whole events on: one that breaks off could not be gone on from."""
+        """Forward complete events; a stream cannot be resumed in the middle of an event.
+
+        Raises CallerDisconnected to end the attempt if an event is malformed or out of order.
+        """
         if self.status != STATUS_OK:
             self.body += data
             return
         try:
             events = self._reader.feed(data)
         except ValueError:
-            self._leave()
+            self._abort()
         for event in events:
-            if self._run.last_id is not None and event.id != self._run.last_id + 1:
-                self._leave()
-            self._run.last_id = event.id
-            await self._run.answer.events(event.raw)
-
-    def _leave(self) -> None:
-        self.broken = True
+            if (
+                self._forwarder.last_event_id is not None
+                and event.id != self._forwarder.last_event_id + 1
+            ):
+                self._abort()
+            self._forwarder.last_event_id = event.id
+            await self._forwarder.output.send_events(event.raw)
+
+    def _abort(self) -> None:
+        self.malformed = True
         raise CallerDisconnected
 
 
 @attrs.define
-class StreamRun:
-    """One caller's stream over all the upstreams that make a part of it."""
+class StreamForwarder:
+    """Forwards one caller's stream, made by one upstream or by several in turn.
+
+    `make_request` returns the request that resumes after an event and avoids some upstreams.
+    """
 
     dispatcher: Dispatcher
-    answer: StreamAnswer
-    make: Callable[[int | None, frozenset[str]], CallerRequest]
+    output: StreamOutput
+    make_request: Callable[[int | None, frozenset[str]], CallerRequest]
     version_field: str
     resumable: bool
     max_attempts: int
-    last_id: int | None = None
-    begun: bool = False
+    last_event_id: int | None = None
+    response_started: bool = False
+
+    async def async_run(self) -> Result[_UpstreamSink, Refusal]:
+        """Return the sink of the last upstream.
 
-    async def async_run(self) -> Result[_Sink, Refusal]:
-        """Return the last upstream's sink; an Err with `begun` set must end in a cut."""
+        If the error has `response_started` set, the caller's connection must be closed.
+        """
         avoid: frozenset[str] = frozenset()
-        runs, turned_away = 0, 0
+        runs, rejections = 0, 0
         while True:
-            sink = _Sink(self)
-            outcome = await self.dispatcher.async_run(self.make(self.last_id, avoid), sink)
-            no_stream = sink.status != STATUS_OK and not self.begun
-            if isinstance(outcome, Ok) and (sink.whole or no_stream):
+            sink = _UpstreamSink(self)
+            outcome = await self.dispatcher.async_run(
+                self.make_request(self.last_event_id, avoid), sink
+            )
+            is_plain_response = sink.status != STATUS_OK and not self.response_started
+            if isinstance(outcome, Ok) and (sink.complete or is_plain_response):
                 return Ok(sink)
-            refusal = self._refusal(outcome)
+            refusal = self._refusal_of(outcome)
             if refusal.ran is Ran.NO and not sink.status:
-                turned_away += 1
+                rejections += 1
             else:
                 runs += 1
             avoid |= {sink.upstream}
-            may_go_on = self.resumable or (refusal.ran is Ran.NO and not sink.status)
-            spent = runs >= self.max_attempts or turned_away > _MAX_TURNED_AWAY
-            if not may_go_on or spent or refusal.reason in _FINAL:
+            can_continue = self.resumable or (refusal.ran is Ran.NO and not sink.status)
+            attempts_exhausted = runs >= self.max_attempts or rejections > _MAX_REJECTIONS
+            if not can_continue or attempts_exhausted or refusal.reason in _FINAL_REASONS:
                 return Err(
-                    attrs.evolve(refusal.after_possible_run(runs > 0), response_started=self.begun)
+                    attrs.evolve(
+                        refusal.after_possible_run(runs > 0), response_started=self.response_started
+                    )
                 )
 
-    def _refusal(self, outcome: Result[str, Refusal]) -> Refusal:
+    def _refusal_of(self, outcome: Result[str, Refusal]) -> Refusal:
         if isinstance(outcome, Err):
             return outcome.unwrap_err()
         return Refusal(RefusalReason.UPSTREAM_FAILED, Ran.YES)
--- a/tests/gateway/test_closed_handler.py
+++ b/tests/gateway/test_closed_handler.py
@@ -1,7 +1,7 @@
-"""A request that is read in the turn of the loop in which a stopping gateway closes its connections.
+"""A request that is read in the event loop iteration in which a stopping gateway closes connections.
 
-Nothing is in flight, since the handler has not begun: the gateway closes. In the next turn the handler
-begins and passes the request on; an upstream runs it, and the caller sees a closed connection and no answer.
+Its handler starts only in the next iteration, so the gateway sees no request in flight and closes
+the connection. If the handler then forwarded the request, an upstream would run it without a caller.
 """
 
 import asyncio
@@ -21,15 +21,15 @@
 from stand_ins.process import free_ports
 
 
-class _Closing(Application):
-    """Close every connection as soon as a request has been read, before its handler begins."""
+class _ClosingApplication(Application):
+    """Closes every connection as soon as a request has been read, before its handler starts."""
 
     close: Any = None
 
     def start_request(
         self, server_conn: object, request_conn: HTTPConnection
     ) -> HTTPMessageDelegate:
-        """Return the receiver of a request."""
+        """Return a delegate that closes the connections after the request has been read."""
         inner = super().start_request(server_conn, request_conn)
         finish = inner.finish
 
@@ -41,36 +41,41 @@
         return inner
 
 
-class _Gateway(CallerHandler):
+class _GatewayHandler(CallerHandler):
     def get(self) -> None:
-        """Note that the request is passed on."""
-        self.context.passed_on.append(self.request.path)  # type: ignore[attr-defined]
+        """Record that the request is forwarded."""
+        self.context.forwarded.append(self.request.path)  # type: ignore[attr-defined]
         self.finish("x")
 
 
-class _Entry(_CallerHandler):
+class _EntryHandler(_CallerHandler):
     def _identify(self) -> str:
         return "c"
 
     def get(self) -> None:
-        """Note that the request is passed on."""
-        self.context.passed_on.append(self.request.path)  # type: ignore[attr-defined]
+        """Record that the request is forwarded."""
+        self.context.forwarded.append(self.request.path)  # type: ignore[attr-defined]
         self.finish("x")
 
 
-@pytest.mark.parametrize("handler", [_Gateway, _Entry])
+@pytest.mark.parametrize("handler", [_GatewayHandler, _EntryHandler])
 @pytest.mark.parametrize("closes", [True, False])
-def test_nothing_is_passed_on_from_a_connection_that_has_closed(
+def test_request_of_a_closed_connection_is_not_forwarded(
     handler: type[CallerHandler], closes: bool
 ) -> None:
-    """With the connection open, the same request is passed on and answered."""
+    """The handler starts after its connection was closed and must not forward the request.
 
-    async def scene() -> tuple[list[str], bytes]:
-        metrics, passed_on = Metrics(), []
+    With the connection open, the same request is forwarded and answered.
+    """
+
+    async def async_scenario() -> tuple[list[str], bytes]:
+        metrics, forwarded = Metrics(), []
         context = SimpleNamespace(
-            clock=FakeClock(), metrics=metrics, passed_on=passed_on, ready=lambda: True
+            clock=FakeClock(), metrics=metrics, forwarded=forwarded, ready=lambda: True
+        )
+        app = _ClosingApplication(
+            [(r".*", handler, {"context": context})], log_function=lambda _: None
         )
-        app = _Closing([(r".*", handler, {"context": context})], log_function=lambda _: None)
         (port,) = free_ports(1)
         limits = InputLimits(1000, 1000, timedelta(seconds=1))
         server = open_http_server(app, f"127.0.0.1:{port}", limits, metrics)
@@ -82,11 +87,11 @@
         app.close = close
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-        answer = await asyncio.wait_for(reader.read(), 5)
+        response = await asyncio.wait_for(reader.read(), 5)
         await asyncio.sleep(0.05)
         server.stop()
         writer.close()
-        return passed_on, answer
+        return forwarded, response
 
-    passed_on, answer = asyncio.run(scene())
-    assert (passed_on, bool(answer)) == (([], False) if closes else (["/a"], True))
+    forwarded, response = asyncio.run(async_scenario())
+    assert (forwarded, bool(response)) == (([], False) if closes else (["/a"], True))
--- a/tests/gateway/test_nodes.py
+++ b/tests/gateway/test_nodes.py
@@ -1,4 +1,4 @@
-"""Which nodes live, from the signs that they write."""
+"""Detection of live nodes by their heartbeats."""
 
 import asyncio
 from datetime import timedelta
@@ -14,22 +14,28 @@
 
 
 class Node:
-    """A node that writes its sign and reads those of the others."""
+    """A node that writes heartbeats and reads those of the others."""
 
     def __init__(self, store: FakeStore, name: str) -> None:
         clock = LoopClock()
         self.metrics = Metrics()
         self.link, self.health = StoreLink(store), StoreHealth(clock, self.metrics)
-        sign = NodeSign(name, "levis", PEERS[name])
+        heartbeat = NodeSign(name, "levis", PEERS[name])
         self.book = NodeBook(
-            self.link, TOPIC, sign, clock, lambda: self.tail.current_at, lambda: None, self.health
+            self.link,
+            TOPIC,
+            heartbeat,
+            clock,
+            lambda: self.tail.current_at,
+            lambda: None,
+            self.health,
         )
         self.tail = KeyedTail(self.link, TOPIC, clock, self.health, self.book.take)
-        work = (self.tail.async_run(), self.book.async_run())
-        self.tasks = [asyncio.ensure_future(part) for part in work]
+        coroutines = (self.tail.async_run(), self.book.async_run())
+        self.tasks = [asyncio.ensure_future(coroutine) for coroutine in coroutines]
 
     def live(self) -> list[str]:
-        """Return who takes work that comes now."""
+        """Return the nodes that are responsible for work that arrives now."""
         return sorted(self.book.live(LoopClock().monotonic()))
 
 
@@ -39,10 +45,10 @@
     return nodes
 
 
-def test_a_dead_node_is_known_to_all_within_four_seconds() -> None:
-    """Its signs stop; the others agree that it is gone."""
+def test_dead_node_is_detected_by_all_within_four_seconds() -> None:
+    """A node stops writing heartbeats; the others must agree within 4 s that it is dead."""
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         nodes = await _async_nodes(FakeStore())
         assert nodes[0].live() == ["a", "b", "c"]
         for task in nodes[2].tasks:
@@ -50,16 +56,16 @@
         await asyncio.sleep(4)
         assert nodes[0].live() == nodes[1].live() == ["a", "b"]
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
 
 
-def test_a_node_cut_from_the_store_does_not_take_the_others_for_dead() -> None:
-    """It hears nobody, which says nothing of them.
+def test_node_without_the_store_does_not_consider_the_others_dead() -> None:
+    """A node that cannot reach the store receives no heartbeats for 10 s.
 
-    Taking them for dead it would run every group of every job alone.
+    If it considered the other nodes dead, it would run every group of every job alone.
     """
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         nodes = await _async_nodes(FakeStore())
         assert nodes[0].live() == ["a", "b", "c"]
         nodes[0].link.silent = True
@@ -67,13 +73,16 @@
             await asyncio.sleep(0.5)
             assert nodes[0].live() == ["a", "b", "c"]
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
 
 
-def test_a_stopping_node_keeps_what_it_had_and_gets_nothing_new() -> None:
-    """Work from before its notice stays with it while it gives signs, then goes to the others."""
+def test_stopping_node_keeps_earlier_work_and_gets_no_new_work() -> None:
+    """Work that arrived before the announced stop stays with the node while it sends heartbeats.
 
-    async def scene() -> None:
+    Once it is dead, that work goes to the others.
+    """
+
+    async def async_scenario() -> None:
         nodes = await _async_nodes(FakeStore())
         before = LoopClock().monotonic()
         nodes[1].book.stopping = True
@@ -86,16 +95,17 @@
         await asyncio.sleep(4)
         assert sorted(nodes[0].book.live(before)) == ["a", "c"]
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
 
 
-def test_a_node_that_died_long_ago_is_dead_for_nodes_that_start() -> None:
-    """All are killed a while after one was replaced: its last sign is heard for the first time again.
+def test_node_that_died_long_ago_is_dead_for_a_restarted_node() -> None:
+    """One node dies; 12 s later the others are killed too, and one of them restarts.
 
-    Taken for a sign of life it would get groups of every open job, and their items wait until it is silent.
+    It receives the dead node's last heartbeat for the first time. If that node counted as alive, it
+    would be assigned groups of every open job, whose items would wait until it is detected as dead.
     """
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         store = FakeStore()
         nodes = await _async_nodes(store)
         for task in nodes[2].tasks:
@@ -104,34 +114,34 @@
         for task in [*nodes[0].tasks, *nodes[1].tasks]:
             task.cancel()
         await asyncio.sleep(0.5)
-        again = Node(store, "b")
+        restarted = Node(store, "b")
         await asyncio.sleep(0.1)
-        assert again.live() == ["a", "b"]
-        for task in again.tasks:
+        assert restarted.live() == ["a", "b"]
+        for task in restarted.tasks:
             task.cancel()
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
 
 
-def test_a_sign_that_cannot_be_read_is_passed_over() -> None:
-    """Foreign bytes under a node's key harm nothing."""
+def test_unreadable_heartbeat_is_ignored() -> None:
+    """Another writer stores invalid bytes under a node's key; the live nodes must not change."""
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         nodes = await _async_nodes(FakeStore())
         nodes[0].link.put(TOPIC, "x", b"\xc1")
         await asyncio.sleep(0.1)
         assert nodes[0].live() == ["a", "b", "c"]
         assert {sign.peer for sign in nodes[0].book.signs()} == set(PEERS.values())
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
 
 
-def test_ten_seconds_of_signs_cost_a_bounded_number_of_appends() -> None:
-    """About one sign in 0.8 s."""
+def test_ten_seconds_of_heartbeats_cost_a_bounded_number_of_appends() -> None:
+    """A node writes about one heartbeat per 0.8 s, so 10 s must take 10 to 15 appends."""
 
-    async def scene() -> None:
+    async def async_scenario() -> None:
         node = Node(FakeStore(), "a")
         await asyncio.sleep(timedelta(seconds=10).total_seconds())
         assert 10 <= node.link.appends <= 15
 
-    run_virtual(scene())
+    run_virtual(async_scenario())
