--- a/bench/fold.py
+++ b/bench/fold.py
@@ -20,7 +20,7 @@
 from tornado.httpclient import AsyncHTTPClient
 
 from cranberryline.gateway.app import GatewayProcess
-from cranberryline.gateway.nodes import NodeBook
+from cranberryline.gateway.nodes import NodeRegistry
 from cranberryline.helpers.clock import SystemClock
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.helpers.tail import StoreHealth
@@ -108,9 +108,9 @@
     clock = SystemClock()
     health = StoreHealth(clock, Metrics())
     nobody = cast(Any, None)
-    book = NodeBook(nobody, "t", nobody, clock, lambda: None, lambda: None, health)
+    book = NodeRegistry(nobody, "t", nobody, clock, lambda: None, lambda: None, health)
     signs = [KeyedRecord(*load.sign(number), 0) for number in range(load.nodes)] * _REPEATS
-    spent = _microseconds(lambda: [book.take(sign) for sign in signs], len(signs))
+    spent = _microseconds(lambda: [book.apply_record(sign) for sign in signs], len(signs))
     _tell("record", kind="sign", us=spent)
 
 
--- a/bench/fold_load.py
+++ b/bench/fold_load.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from cranberryline.decisions.job_placement import JobPlacement
-from cranberryline.gateway.nodes import NodeSign
+from cranberryline.gateway.nodes import NodeHeartbeat
 from cranberryline.jobs import Item, ItemResult, ItemState, Job, JobEnded, ResultRecord, Scorer
 from cranberryline.jobs.codec import encode_job, encode_records
 from cranberryline.jobs.partition import partition_of
@@ -85,7 +85,7 @@
     def sign(self, node: int) -> tuple[str, bytes]:
         """Return the key and the bytes of a node's sign of life."""
         name = f"front-{node}"
-        return name, msgspec.msgpack.encode(NodeSign(name, "levis", f"127.0.0.1:{node + 1}"))
+        return name, msgspec.msgpack.encode(NodeHeartbeat(name, "levis", f"127.0.0.1:{node + 1}"))
 
     def registration(self, upstream: int, sequence: int) -> tuple[str, bytes]:
         """Return the key and the bytes of an upstream's registration."""
--- a/cranberryline/gateway/app.py
+++ b/cranberryline/gateway/app.py
@@ -40,8 +40,8 @@
 from .holds import PATH_HOLDS, HoldsHandler, QuarantineParts, make_quarantine
 from .ingress import IngressHandler
 from .links import DirectLinks
-from .no_log import NoLog
-from .nodes import NodeBook, NodeSign
+from .nodes import NodeHeartbeat, NodeRegistry
+from .refusing_log import RefusingLog
 from .registrations import Registrations
 from .relay import PATH_RELAY, RelayedLog, RelayHandler
 from .reload import SettingsWatch
@@ -82,18 +82,18 @@
         self.store = RelayedLog(platform.log, self._relay_peers, clock, self.metrics)
         self.directory = Directory(clock, self.health, run_soon)
         self.registrations = Registrations(platform, self.directory, self.routes, self.metrics)
-        self.table = UpstreamTable()
-        self.directs = DirectUpstreams(
+        self.upstreams = UpstreamTable()
+        self.direct_upstreams = DirectUpstreams(
             clock,
             self.metrics,
-            NoLog(),
+            RefusingLog(),
             uuid.uuid4().hex,
             lambda: next(self._request_ids),
             self.routes.spec,
             self._wake,
             platform.connect,
         )
-        self.links = DirectLinks(self.table, self.directs)
+        self.links = DirectLinks(self.upstreams, self.direct_upstreams)
         self.quarantine, self._quarantine_tail = make_quarantine(
             QuarantineParts(
                 cfg.vm_id,
@@ -108,15 +108,15 @@
         )
         rng = random.Random()
         self.dispatcher = Dispatcher(
-            clock, rng, self.table, self.routes, self.metrics, cfg.data_center, self.quarantine
+            clock, rng, self.upstreams, self.routes, self.metrics, cfg.data_center, self.quarantine
         )
         self.jobs = JobService(
             self.store, cfg.partitions, clock, self.health, self.metrics, cfg.keep_jobs
         )
-        self.nodes = NodeBook(
+        self.nodes = NodeRegistry(
             self.store,
             platform.topic_nodes,
-            NodeSign(cfg.vm_id, cfg.data_center, cfg.peer),
+            NodeHeartbeat(cfg.vm_id, cfg.data_center, cfg.peer),
             clock,
             lambda: self._nodes_tail.current_at,
             self._on_nodes_changed,
@@ -141,7 +141,7 @@
                 clock,
                 self.metrics,
                 cfg.vm_id,
-                self.nodes.live,
+                self.nodes.live_nodes,
             )
         )
         self.lease = LeaseKeeper(self.store, cfg.vm_id, cfg.lease, clock, self.health)
@@ -156,18 +156,18 @@
             clock,
             self.metrics,
         )
-        self._config_tail = self._make_tail(platform.topic_operator, self._on_operator)
+        self._config_tail = self._make_tail(platform.topic_operator, self._on_operator_record)
         self._upstreams_tail = self._make_tail(
             platform.topic_upstreams, self.registrations.take, _UPSTREAMS_POLL_PAUSE
         )
         self._nodes_tail = self._make_tail(
-            platform.topic_nodes, self.nodes.take, _HEARTBEATS_POLL_PAUSE
+            platform.topic_nodes, self.nodes.apply_record, _HEARTBEATS_POLL_PAUSE
         )
         self._trainer_lags = TrainerLags()
         self.jobs.book.listen(self._on_job)
         self.routes.listen(self._on_routes)
         self.directory.listen(self._on_registration)
-        self.directory.listen_superseded(self.directs.abort_requests)
+        self.directory.listen_superseded(self.direct_upstreams.abort_requests)
         self.directory.membership.listen(self._on_membership_changed)
 
     @property
@@ -197,7 +197,7 @@
         app = Application(
             [(r".*", IngressHandler, {"context": context})], log_function=leave_log_to_handlers
         )
-        self._callers = open_http_server(app, self._cfg.listen, limits, self.metrics)
+        self._caller_server = open_http_server(app, self._cfg.listen, limits, self.metrics)
         status = Application(
             [
                 (r"/metrics", MetricsHandler, {"metrics": self.metrics}),
@@ -210,8 +210,8 @@
         relay = Application(
             [(PATH_RELAY, RelayHandler, {"log": self.store})], log_function=leave_log_to_handlers
         )
-        self._peers = open_http_server(relay, self._cfg.peer, limits, self.metrics)
-        self._http_servers += (self._callers, self._peers)
+        self._peer_server = open_http_server(relay, self._cfg.peer, limits, self.metrics)
+        self._http_servers += (self._caller_server, self._peer_server)
         for tail in (*self._startup_tails(), self.lease.tail):
             self._start_task(tail.async_run())
         self._start_task(self.quarantine.async_run())
@@ -239,8 +239,8 @@
         self.lease.stopping = True
         self.nodes.stopping = True
         parts = StopParts(
-            self._callers,
-            self._peers,
+            self._caller_server,
+            self._peer_server,
             self.nodes,
             self.store.end_reads,
             lambda: self.runner.busy,
@@ -271,13 +271,13 @@
         return self._quarantine_tail.loaded.is_set() or now - self._started_at >= _HOLDS_TIMEOUT
 
     def _live_nodes(self) -> Collection[str]:
-        return self.nodes.live(self._clock.monotonic())
+        return self.nodes.live_nodes(self._clock.monotonic())
 
     def _relay_peers(self) -> list[str]:
         return [
-            sign.peer
-            for sign in self.nodes.signs()
-            if sign.peer and not sign.stopping and sign.node != self._cfg.vm_id
+            heartbeat.peer
+            for heartbeat in self.nodes.heartbeats()
+            if heartbeat.peer and not heartbeat.stopping and heartbeat.node != self._cfg.vm_id
         ]
 
     def _make_tail(self, topic: str, on_key: Any, poll_pause: timedelta = timedelta()) -> KeyedTail:
@@ -307,7 +307,7 @@
             await self._clock.async_sleep(_EXPIRY_INTERVAL)
             self.directory.expire()
 
-    def _on_operator(self, record: KeyedRecord) -> None:
+    def _on_operator_record(self, record: KeyedRecord) -> None:
         read = self._platform.read_operator(record)
         if isinstance(read, Err):
             # The previous configuration stays active until the operator publishes a valid record.
@@ -327,13 +327,13 @@
             # Closing an idle connection before this limit could lose the caller's next request.
             server.conn_params.header_timeout = table.limits.idle_timeout.total_seconds()
         _LOGGER.info("config_applied", version=table.version, routes=len(table.routes))
-        self.directs.update_concurrency()
+        self.direct_upstreams.update_concurrency()
         self._wake()
 
     def _on_registration(self, row: Registration) -> None:
         if self.routes.set_slots(row.service, row.slots):
             # Links with the old limit would queue requests without the scheduler seeing them.
-            self.directs.update_concurrency()
+            self.direct_upstreams.update_concurrency()
 
     def _on_membership_changed(self) -> None:
         self.links.apply(self.directory.membership)
--- a/cranberryline/gateway/ingress.py
+++ b/cranberryline/gateway/ingress.py
@@ -27,7 +27,7 @@
 from cranberryline.routes import Route, RouteKind, RouteTable
 
 from .handler import RETRY_AFTER
-from .job_calls import JobCalls
+from .job_handler import JobHandler
 from .streams import StreamForwarder, StreamOutput
 
 __all__ = ["IngressHandler"]
@@ -41,7 +41,7 @@
 _DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {"date", "server"}
 
 
-class IngressHandler(JobCalls):
+class IngressHandler(JobHandler):
     """Serves all requests of callers."""
 
     async def async_handle(self) -> None:
@@ -260,6 +260,7 @@
             config=self._config_version(),
             upstream=sink.upstream,
             status=sink.status,
+            # Time until the request was sent to the upstream that answered it.
             place_ms=(
                 None if sink.sent_at is None else in_milliseconds(sink.sent_at - self._started_at)
             ),
--- a/cranberryline/gateway/job_calls.py
+++ b/cranberryline/gateway/job_handler.py
@@ -11,7 +11,7 @@
 
 from .handler import RETRY_AFTER, CallerHandler
 
-__all__ = ["JobCalls"]
+__all__ = ["JobHandler"]
 
 _MAX_WAIT = timedelta(seconds=1)
 _JOB_STATUS = {
@@ -23,7 +23,7 @@
 }
 
 
-class JobCalls(CallerHandler):
+class JobHandler(CallerHandler):
     """Submits, reads and ends jobs."""
 
     async def _async_submit_job(self, call: PlainCall, host: str) -> None:
--- a/cranberryline/gateway/nodes.py
+++ b/cranberryline/gateway/nodes.py
@@ -15,7 +15,7 @@
 from cranberryline.ports.store import KeyedRecord, SharedLog
 from cranberryline.settings.fields import Address
 
-__all__ = ["NodeBook", "NodeSign"]
+__all__ = ["NodeHeartbeat", "NodeRegistry"]
 
 _LOGGER = get_logger(__name__)
 
@@ -33,7 +33,7 @@
 _STALE_AFTER = timedelta(seconds=10)
 
 
-class NodeSign(msgspec.Struct, array_like=True, frozen=True):
+class NodeHeartbeat(msgspec.Struct, array_like=True, frozen=True):
     """A heartbeat of a node.
 
     `peer` is the address at which other nodes reach it. `written` is the Unix time in seconds, 0 if
@@ -47,7 +47,7 @@
     written: float = 0.0
 
 
-_DECODER = msgspec.msgpack.Decoder(NodeSign)
+_DECODER = msgspec.msgpack.Decoder(NodeHeartbeat)
 
 
 @attrs.frozen
@@ -58,12 +58,12 @@
     clock of this node.
     """
 
-    heartbeat: NodeSign
+    heartbeat: NodeHeartbeat
     received_at: timedelta
     stopping: timedelta | None
 
 
-class NodeBook:
+class NodeRegistry:
     """Writes the heartbeats of this node and tracks which nodes are alive.
 
     `current_at` returns the time up to which all heartbeats in the store have been read.
@@ -73,7 +73,7 @@
         self,
         log: SharedLog,
         topic: str,
-        heartbeat: NodeSign,
+        heartbeat: NodeHeartbeat,
         clock: Clock,
         current_at: Callable[[], timedelta | None],
         on_change: Callable[[], None],
@@ -90,7 +90,7 @@
         self._states: dict[str, _NodeState] = {}
         self._last_live: frozenset[str] = frozenset()
 
-    def live(self, since: timedelta) -> frozenset[str]:
+    def live_nodes(self, since: timedelta) -> frozenset[str]:
         """Return the nodes that are responsible for work that arrived at `since` (monotonic).
 
         The age of a heartbeat is counted up to the time at which this node had read everything from
@@ -124,11 +124,11 @@
             _LOGGER.info("nodes_live", came=joined, went=left)
             self._last_live = live
 
-    def signs(self) -> list[NodeSign]:
+    def heartbeats(self) -> list[NodeHeartbeat]:
         """Return the last heartbeat of each known node, which may be dead by now."""
         return [state.heartbeat for state in self._states.values()]
 
-    def take(self, record: KeyedRecord) -> None:
+    def apply_record(self, record: KeyedRecord) -> None:
         """Apply a heartbeat from the store; an empty value removes the node.
 
         An invalid heartbeat is counted and ignored; the node's previous one stays in effect.
@@ -153,11 +153,11 @@
     async def async_run(self) -> None:
         """Write heartbeats until cancelled."""
         while True:
-            written = await self.async_sign()
+            written = await self.async_write_heartbeat()
             pause = _HEARTBEAT_INTERVAL if written else _HEARTBEAT_RETRY_INTERVAL
             await self._clock.async_sleep(pause * (0.9 + 0.2 * random.random()))
 
-    async def async_sign(self) -> bool:
+    async def async_write_heartbeat(self) -> bool:
         """Write one heartbeat; return whether the store confirmed it."""
         written = self._clock.now().timestamp()
         heartbeat = msgspec.structs.replace(
@@ -167,7 +167,7 @@
         return (await self._log.async_append(self._topic, 0, [record], _HEARTBEAT_TIMEOUT)).is_ok()
 
 
-def _decode_heartbeat(record: KeyedRecord) -> Result[NodeSign, str]:
+def _decode_heartbeat(record: KeyedRecord) -> Result[NodeHeartbeat, str]:
     """Decode a heartbeat; the error says why it is invalid.
 
     It has to be of the node under whose key it is stored, and its peer address has to be valid.
--- a/cranberryline/gateway/no_log.py
+++ b/cranberryline/gateway/refusing_log.py
@@ -8,10 +8,10 @@
 from cranberryline.ports.errors import PlatformError, PlatformReason
 from cranberryline.ports.model import LogPage, LogPort
 
-__all__ = ["NoLog"]
+__all__ = ["RefusingLog"]
 
 
-class NoLog(LogPort):
+class RefusingLog(LogPort):
     """Refuses every call, so that no idempotency key can be claimed.
 
     Execution stores claims of idempotency keys in a log service, which a gateway does not have.
--- a/cranberryline/gateway/stop.py
+++ b/cranberryline/gateway/stop.py
@@ -11,7 +11,7 @@
 from cranberryline.helpers.logging import get_logger
 from cranberryline.helpers.shutdown import StopOutcome
 
-from .nodes import NodeBook
+from .nodes import NodeRegistry
 
 __all__ = ["StopParts", "async_stop_gateway"]
 
@@ -32,7 +32,7 @@
 
     callers: GracefulServer
     peers: GracefulServer
-    nodes: NodeBook
+    nodes: NodeRegistry
     end_reads: Callable[[], None]
     items_left: Callable[[], bool]
     on_close: Callable[[], None]
@@ -44,7 +44,7 @@
     Return how it ended, some nine tenths of `timeout` after the call at the latest.
     """
     # Before a silent store the sign would take a second of the time that the platform's kill leaves.
-    await asyncio.gather(parts.nodes.async_sign(), clock.async_sleep(_BALANCER_NOTICE))
+    await asyncio.gather(parts.nodes.async_write_heartbeat(), clock.async_sleep(_BALANCER_NOTICE))
     servers = (parts.callers, parts.peers)
     for server in servers:
         server.stop()
--- a/tests/dispatch/test_eligibility.py
+++ b/tests/dispatch/test_eligibility.py
@@ -74,6 +74,6 @@
     link = direct_links.make(direct_vm("vm-1", "engines"))
     registration = Registration("vm-2", "engines", "10.0.0.1:1", "levis", 6, False, {})
     GatewayProcess._on_registration(
-        cast(Any, SimpleNamespace(routes=routes, directs=direct_links)), registration
+        cast(Any, SimpleNamespace(routes=routes, direct_upstreams=direct_links)), registration
     )
     assert link.runner.concurrency == routes.spec("engines").concurrency
--- a/tests/gateway/test_foreign_records.py
+++ b/tests/gateway/test_foreign_records.py
@@ -13,7 +13,7 @@
 from tornado.netutil import bind_sockets
 from tornado.web import Application, RequestHandler
 
-from cranberryline.gateway.nodes import NodeSign
+from cranberryline.gateway.nodes import NodeHeartbeat
 from cranberryline.gateway.relay import PATH_RELAY, RelayedLog
 from cranberryline.helpers.clock import SystemClock
 from cranberryline.helpers.metrics import Metrics
@@ -24,7 +24,7 @@
 
 from .test_nodes import PEERS, Node, _async_nodes
 
-SIGN = msgspec.msgpack.encode(NodeSign("x", "levis", "10.0.0.9:7"))
+SIGN = msgspec.msgpack.encode(NodeHeartbeat("x", "levis", "10.0.0.9:7"))
 TIMEOUT = timedelta(milliseconds=300)
 NO_PEERS = [
     "nowhere",
@@ -46,10 +46,10 @@
     async def scene() -> None:
         node = Node(FakeStore(), "a")
         for data in records:
-            node.book.take(KeyedRecord("x", data))
-        node.book.take(KeyedRecord("x", SIGN))
-        assert "x" in [sign.node for sign in node.book.signs()]
-        assert all(sign.node == "x" for sign in node.book.signs())
+            node.registry.apply_record(KeyedRecord("x", data))
+        node.registry.apply_record(KeyedRecord("x", SIGN))
+        assert "x" in [sign.node for sign in node.registry.heartbeats()]
+        assert all(sign.node == "x" for sign in node.registry.heartbeats())
 
     run_virtual(scene())
 
@@ -59,12 +59,12 @@
 
     async def scene() -> None:
         nodes = await _async_nodes(FakeStore())
-        other = msgspec.msgpack.encode(NodeSign("c", "levis", "10.6.6.6:7"))
+        other = msgspec.msgpack.encode(NodeHeartbeat("c", "levis", "10.6.6.6:7"))
         for data in (b"\xc1", SIGN[:-3], other, *deep(b"\x95\xa1b\xa1z\xa0\xc2")):
             nodes[0].link.put("keyed.nodes", "b", data)
         await asyncio.sleep(0.1)
         assert nodes[0].live() == ["a", "b", "c"]
-        assert {sign.peer for sign in nodes[0].book.signs()} == set(PEERS.values())
+        assert {sign.peer for sign in nodes[0].registry.heartbeats()} == set(PEERS.values())
         drops = "cranberryline_drops_total"
         assert nodes[0].metrics.value(drops, reason="node_sign_unreadable") == 8
 
@@ -81,8 +81,10 @@
 
     async def scene() -> None:
         node = Node(FakeStore(), "a")
-        node.book.take(KeyedRecord("x", msgspec.msgpack.encode(NodeSign("x", "levis", peer))))
-        assert node.book.signs() == []
+        node.registry.apply_record(
+            KeyedRecord("x", msgspec.msgpack.encode(NodeHeartbeat("x", "levis", peer)))
+        )
+        assert node.registry.heartbeats() == []
 
     run_virtual(scene())
 
--- a/tests/gateway/test_nodes.py
+++ b/tests/gateway/test_nodes.py
@@ -3,7 +3,7 @@
 import asyncio
 from datetime import timedelta
 
-from cranberryline.gateway.nodes import NodeBook, NodeSign
+from cranberryline.gateway.nodes import NodeHeartbeat, NodeRegistry
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.helpers.tail import KeyedTail, StoreHealth
 from tests.store_fake import FakeStore, StoreLink
@@ -20,8 +20,8 @@
         clock = LoopClock()
         self.metrics = Metrics()
         self.link, self.health = StoreLink(store), StoreHealth(clock, self.metrics)
-        heartbeat = NodeSign(name, "levis", PEERS[name])
-        self.book = NodeBook(
+        heartbeat = NodeHeartbeat(name, "levis", PEERS[name])
+        self.registry = NodeRegistry(
             self.link,
             TOPIC,
             heartbeat,
@@ -30,13 +30,13 @@
             lambda: None,
             self.health,
         )
-        self.tail = KeyedTail(self.link, TOPIC, clock, self.health, self.book.take)
-        coroutines = (self.tail.async_run(), self.book.async_run())
+        self.tail = KeyedTail(self.link, TOPIC, clock, self.health, self.registry.apply_record)
+        coroutines = (self.tail.async_run(), self.registry.async_run())
         self.tasks = [asyncio.ensure_future(coroutine) for coroutine in coroutines]
 
     def live(self) -> list[str]:
         """Return the nodes that are responsible for work that arrives now."""
-        return sorted(self.book.live(LoopClock().monotonic()))
+        return sorted(self.registry.live_nodes(LoopClock().monotonic()))
 
 
 async def _async_nodes(store: FakeStore) -> list[Node]:
@@ -85,15 +85,15 @@
     async def async_scenario() -> None:
         nodes = await _async_nodes(FakeStore())
         before = LoopClock().monotonic()
-        nodes[1].book.stopping = True
-        await nodes[1].book.async_sign()
+        nodes[1].registry.stopping = True
+        await nodes[1].registry.async_write_heartbeat()
         await asyncio.sleep(0.1)
         assert nodes[0].live() == ["a", "c"]
-        assert sorted(nodes[0].book.live(before)) == ["a", "b", "c"]
+        assert sorted(nodes[0].registry.live_nodes(before)) == ["a", "b", "c"]
         for task in nodes[1].tasks:
             task.cancel()
         await asyncio.sleep(4)
-        assert sorted(nodes[0].book.live(before)) == ["a", "c"]
+        assert sorted(nodes[0].registry.live_nodes(before)) == ["a", "c"]
 
     run_virtual(async_scenario())
 
@@ -131,7 +131,9 @@
         nodes[0].link.put(TOPIC, "x", b"\xc1")
         await asyncio.sleep(0.1)
         assert nodes[0].live() == ["a", "b", "c"]
-        assert {sign.peer for sign in nodes[0].book.signs()} == set(PEERS.values())
+        assert {heartbeat.peer for heartbeat in nodes[0].registry.heartbeats()} == set(
+            PEERS.values()
+        )
 
     run_virtual(async_scenario())
 
--- a/tests/platform/crash_scene.py
+++ b/tests/platform/crash_scene.py
@@ -77,5 +77,5 @@
     scene.add("engines", MODEL, 8)
     for gateway in scene.platform.gateways:
         for service in ("files", "engines"):
-            await async_until(lambda g=gateway, s=service: len(g.table.usable(s)) == 8)
+            await async_until(lambda g=gateway, s=service: len(g.upstreams.usable(s)) == 8)
     return scene
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -113,7 +113,7 @@
         platform = await async_platform()
         leaving, staying = (s for s in platform.samplers if s.service == "files")
         platform.store.put("keyed.servers", leaving.id, leaving.beat("draining"))
-        await async_until(lambda: len(platform.gateways[0].table.usable("files")) == 1)
+        await async_until(lambda: len(platform.gateways[0].upstreams.usable("files")) == 1)
         for number in range(6):
             assert (
                 await platform.async_call("GET", "/files/x", Attempt_Id=f"a{number}")
@@ -284,7 +284,7 @@
     async def scene() -> None:
         platform = await async_platform(2)
         first = platform.gateways[0]
-        await async_until(lambda: len(first.nodes.signs()) == 2)
+        await async_until(lambda: len(first.nodes.heartbeats()) == 2)
         nobody = HttpOrigin("http://127.0.0.1:9")
         first.store.direct._calls = ShortCalls(nobody)  # type: ignore[attr-defined]
         sent = await platform.async_call("POST", "/jobs/j1", body=job(), Attempt_Id="j1")
@@ -320,7 +320,7 @@
         tails = platform.gateways[0].jobs.tails
         await async_until(lambda: all(tail.loaded.is_set() for tail in tails))
         platform.gateways[0].lease.stopping = True
-        platform.gateways[0].nodes.async_sign = async_nothing  # type: ignore[method-assign]
+        platform.gateways[0].nodes.async_write_heartbeat = async_nothing  # type: ignore[method-assign]
         await asyncio.sleep(1.2)
         platform.store.lose = 1
         sent = await platform.async_call("POST", "/jobs/j1", body=job(), Attempt_Id="j1")
--- a/tests/platform/test_outdated_entries.py
+++ b/tests/platform/test_outdated_entries.py
@@ -21,7 +21,7 @@
     for number in range(_UPSTREAMS):
         platform.add_sampler("files", id=f"old-{number}", delay_s=delay_s)
     for gateway in platform.gateways:
-        await async_until(lambda g=gateway: len(g.table.usable("files")) == _UPSTREAMS)
+        await async_until(lambda g=gateway: len(g.upstreams.usable("files")) == _UPSTREAMS)
     return platform
 
 
@@ -48,7 +48,9 @@
             sampler.id, sampler.born = f"new-{number}", sampler.born + 1_000
             platform.store.put("keyed.servers", sampler.id, sampler.beat())
     for gateway in platform.gateways:
-        await async_until(lambda g=gateway: len(g.table.usable("files")) == _UPSTREAMS + outdated)
+        await async_until(
+            lambda g=gateway: len(g.upstreams.usable("files")) == _UPSTREAMS + outdated
+        )
     return platform, arrivals
 
 
--- a/tests/platform/test_quarantine.py
+++ b/tests/platform/test_quarantine.py
@@ -131,7 +131,7 @@
         plain = [sampler for sampler in made.platform.samplers if sampler.service == "files"]
         for sampler in plain:
             sampler.delay_s = 0.6
-        table = made.platform.gateways[0].table
+        table = made.platform.gateways[0].upstreams
         for leaving in range(1, 5):
             call = asyncio.ensure_future(
                 made.platform.async_call("POST", "/once/x", 0, b"", Attempt_Id=f"x{leaving}")
--- a/tests/platform/test_restarts.py
+++ b/tests/platform/test_restarts.py
@@ -33,7 +33,7 @@
     staying, *others = _of(platform, service)
     for sampler in others:
         platform.store.put("keyed.servers", sampler.id, None)
-    table = platform.gateways[0].table
+    table = platform.gateways[0].upstreams
     await async_until(lambda: len(table.usable(service)) == 1)
     return staying
 
@@ -115,7 +115,7 @@
         former = await _async_alone(platform, "files")
         assert (await platform.async_call("GET", "/files/x", Attempt_Id="a")).code == 200
         again = platform.start_again(former)
-        table = platform.gateways[0].table
+        table = platform.gateways[0].upstreams
         (before,) = table.usable("files")
         await async_until(lambda: [up for up in table.usable("files") if up is not before] != [])
         assert (await platform.async_call("GET", "/files/x", Attempt_Id="b")).code == 200
@@ -131,7 +131,7 @@
     async def scene() -> None:
         platform = await async_platform()
         leaving = await _async_alone(platform, "files")
-        table = platform.gateways[0].table
+        table = platform.gateways[0].upstreams
         platform.store.put("keyed.servers", leaving.id, leaving.beat("draining"))
         await async_until(lambda: not table.usable("files"))
         platform.store.put("keyed.servers", leaving.id, None)
@@ -167,7 +167,7 @@
         spoilt, sound = _of(platform, "files")
         bad = {**spoilt.beat(), **BAD_ENTRIES[case]}
         platform.store.put("keyed.servers", spoilt.id, bad)
-        await async_until(lambda: len(gateway.table.usable("files")) == 1, AT_ONCE)
+        await async_until(lambda: len(gateway.upstreams.usable("files")) == 1, AT_ONCE)
         for number in range(4):
             answer = await platform.async_call("GET", "/files/x", Attempt_Id=f"r{number}")
             assert answer.code == 200
@@ -176,7 +176,7 @@
         counted = {sample.labels["reason"] for sample in samples if sample.value == 1}
         assert any(reason.startswith("registration_") for reason in counted)
         platform.store.put("keyed.servers", spoilt.id, spoilt.beat())
-        await async_until(lambda: len(gateway.table.usable("files")) == 2, AT_ONCE)
+        await async_until(lambda: len(gateway.upstreams.usable("files")) == 2, AT_ONCE)
 
     play(scene())
 
@@ -190,7 +190,7 @@
         value = b'{"more":' + b"[" * 50_000
         platform.store.append("keyed.servers", 0, [b"\x03bad" + value])
         platform.add_sampler("files")
-        await async_until(lambda: len(gateway.table.usable("files")) == 3, AT_ONCE)
+        await async_until(lambda: len(gateway.upstreams.usable("files")) == 3, AT_ONCE)
 
     play(scene())
 
@@ -203,13 +203,13 @@
         gateway = platform.gateways[0]
         odd = platform.add_sampler("late")
         await asyncio.sleep(0.5)
-        assert gateway.table.usable("late") == [] and not gateway.routes.has_service("late")
+        assert gateway.upstreams.usable("late") == [] and not gateway.routes.has_service("late")
         assert (await platform.async_call("GET", "/files/x", Attempt_Id="a")).code == 200
         assert odd.runs == []
         named = config(5, plain="late")
         named["services"].append({"name": "late"})
         platform.store.put("keyed.op", "config", named)
-        await async_until(lambda: len(gateway.table.usable("late")) == 1, AT_ONCE)
+        await async_until(lambda: len(gateway.upstreams.usable("late")) == 1, AT_ONCE)
         assert (await platform.async_call("GET", "/files/x", Attempt_Id="b")).code == 200
         assert [run.id for run in odd.runs] == ["b"]
 
@@ -229,9 +229,9 @@
         spoilt, _ = _of(platform, "files")
         bad = {**spoilt.beat("draining"), "service": "nobody", "born": spoilt.born + 500}
         platform.store.put("keyed.servers", spoilt.id, bad)
-        await async_until(lambda: len(gateway.table.usable("files")) == 1, AT_ONCE)
+        await async_until(lambda: len(gateway.upstreams.usable("files")) == 1, AT_ONCE)
         platform.store.put("keyed.servers", spoilt.id, spoilt.beat())
-        await async_until(lambda: len(gateway.table.usable("files")) == 2, AT_ONCE)
+        await async_until(lambda: len(gateway.upstreams.usable("files")) == 2, AT_ONCE)
 
     play(scene())
 
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -147,7 +147,7 @@
     async def scene() -> None:
         platform = await async_platform()
         gateway = platform.gateways[0]
-        gateway.nodes.async_sign = async_nothing  # type: ignore[method-assign]
+        gateway.nodes.async_write_heartbeat = async_nothing  # type: ignore[method-assign]
         stopping = platform.settings[0].peer
         second = timedelta(seconds=1)
         reads = [
@@ -156,14 +156,16 @@
             )
             for _ in range(readers)
         ]
-        await async_until(lambda: gateway._peers.open_requests == readers)
+        await async_until(lambda: gateway._peer_server.open_requests == readers)
         await asyncio.sleep(0.05)
         for read in () if stay else reads:
             read.cancel()
-        await async_until(lambda: gateway._peers.open_requests == (readers if stay else 0))
+        await async_until(lambda: gateway._peer_server.open_requests == (readers if stay else 0))
         platform.store.append_s = 0.5
         append = asyncio.ensure_future(_peer_of(stopping).async_append("t", 0, [b"a"], 2 * second))
-        await async_until(lambda: gateway._peers.open_requests == 1 + (readers if stay else 0))
+        await async_until(
+            lambda: gateway._peer_server.open_requests == 1 + (readers if stay else 0)
+        )
         began = SystemClock().monotonic()
         await gateway.async_stop()
         took = SystemClock().monotonic() - began
@@ -182,7 +184,7 @@
         for sampler in platform.samplers:
             sampler.delay_s = 0.5
         gateway = platform.gateways[0]
-        gateway.nodes.async_sign = async_nothing  # type: ignore[method-assign]
+        gateway.nodes.async_write_heartbeat = async_nothing  # type: ignore[method-assign]
         async with _callers(platform, 1) as (caller,):
             caller.send("one")
             caller.send("two")
@@ -204,10 +206,10 @@
     async def scene() -> None:
         platform = await async_platform()
         gateway = platform.gateways[0]
-        gateway.nodes.async_sign = async_nothing  # type: ignore[method-assign]
+        gateway.nodes.async_write_heartbeat = async_nothing  # type: ignore[method-assign]
         host, _, port = platform.addresses[0].rpartition(":")
         caller = _Caller(*await asyncio.open_connection(host, int(port)))
-        await async_until(lambda: gateway._callers.at_rest == 1)
+        await async_until(lambda: gateway._caller_server.at_rest == 1)
         stop = asyncio.ensure_future(gateway.async_stop())
         await asyncio.sleep(0.01)
         caller.send("first")
@@ -227,11 +229,11 @@
     async def scene() -> None:
         platform = await async_platform()
         gateway = platform.gateways[0]
-        gateway.nodes.async_sign = async_nothing  # type: ignore[method-assign]
+        gateway.nodes.async_write_heartbeat = async_nothing  # type: ignore[method-assign]
         async with _callers(platform, 1) as (caller,):
             head = f"POST /files/x HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: slow\r\nContent-Length: 4\r\n\r\n"
             caller.writer.write(head.encode() + b"ab")
-            await async_until(lambda: gateway._callers.open_requests == 1)
+            await async_until(lambda: gateway._caller_server.open_requests == 1)
             stop = asyncio.ensure_future(gateway.async_stop())
             await asyncio.sleep(0.3)
             caller.writer.write(b"cd")
@@ -255,7 +257,7 @@
     async def scene() -> None:
         platform = await async_platform()
         gateway = platform.gateways[0]
-        gateway.nodes.async_sign = async_nothing  # type: ignore[method-assign]
+        gateway.nodes.async_write_heartbeat = async_nothing  # type: ignore[method-assign]
         monkeypatch.setattr(platform_sampler, "EVENT_PAUSE", 0.1)
         async with _callers(platform, 1) as (caller,):
             caller.send("stream", "/stream/x")
@@ -295,7 +297,7 @@
     async def scene() -> None:
         platform = await async_platform()
         gateway = platform.gateways[0]
-        gateway.nodes.async_sign = async_nothing  # type: ignore[method-assign]
+        gateway.nodes.async_write_heartbeat = async_nothing  # type: ignore[method-assign]
         async with _callers(platform, 1) as (caller,):
             caller.send("crossing")
             for _ in range(turns):
