--- a/cranberryline/side/app.py
+++ b/cranberryline/side/app.py
@@ -1,4 +1,4 @@
-"""The side process: the only door to its upstream."""
+"""The side process, through which all requests to its upstream pass."""
 
 import asyncio
 import uuid
@@ -43,13 +43,13 @@
 _LOGGER = get_logger(__name__)
 
 # Three times the longest heartbeat interval of an entry.
-_ENTRY_SILENT_AFTER = timedelta(seconds=15)
-_SWEEP_INTERVAL = timedelta(seconds=5)
-_STOP_POLL = timedelta(milliseconds=20)
+_ENTRY_SILENCE_TIMEOUT = timedelta(seconds=15)
+_SILENCE_CHECK_INTERVAL = timedelta(seconds=5)
+_DRAIN_POLL_INTERVAL = timedelta(milliseconds=20)
 
 
-class _Relay(RelayPort):
-    """Send configuration to the connected entries."""
+class _EntryRelayPort(RelayPort):
+    """Sends configuration messages to the connected entries."""
 
     def __init__(self, side: "SideProcess") -> None:
         self._side = side
@@ -60,11 +60,11 @@
         return [] if server is None else [conn.vm_id for conn in server.listener.connections]
 
     def side_peers(self) -> Iterable[str]:
-        """Return nobody: side processes do not talk to each other."""
+        """Return an empty list, because side processes are not connected to each other."""
         return []
 
     def send(self, peer: str, message: Message) -> None:
-        """Send a message to an entry; one that cannot be sent is dropped and counted."""
+        """Send a message to an entry; drop and count it if the entry is not connected."""
         server = self._side.server
         conn = None if server is None else server.listener.get(peer)
         if server is None or conn is None:
@@ -74,7 +74,7 @@
 
 
 class SideProcess(ServerEvents):
-    """Put the parts of a side process together."""
+    """Create, connect, start and stop the components of a side process."""
 
     def __init__(self, cfg: SideSettings, clock: Clock) -> None:
         self._cfg = cfg
@@ -86,32 +86,34 @@
         self.server: PeerServer | None = None
         self.incarnation = uuid.uuid4().hex
         self.metrics = Metrics()
-        self.book = RequestRegistry(self.incarnation)
+        self.request_registry = RequestRegistry(self.incarnation)
         self.engine = HttpEngine(cfg.upstream_url)
         self.claims = ClaimService(HttpLog(cfg.log_url), cfg.service, self.incarnation, clock)
         execution = Execution(clock, self.metrics, self.engine, self.claims)
-        self.runner = Runner(clock, execution, self.metrics, self.book)
-        self.sync = SideConfigSync(_Relay(self), clock, self.metrics)
-        slots = ShiftSlots(cfg.vm_id, lambda: self._members.ids, lambda: self._members.count)
+        self.runner = Runner(clock, execution, self.metrics, self.request_registry)
+        self.sync = SideConfigSync(_EntryRelayPort(self), clock, self.metrics)
+        swap_delay_policy = ShiftSlots(
+            cfg.vm_id, lambda: self._members.ids, lambda: self._members.count
+        )
         self.weights = WeightsController(
-            cfg.service, self.sync, self.engine, slots, clock, self.metrics
+            cfg.service, self.sync, self.engine, swap_delay_policy, clock, self.metrics
         )
-        self.sync.fold.listen(self._on_revision)
+        self.sync.fold.listen(self._apply_concurrency)
 
     @property
     def ready(self) -> bool:
-        """Tell whether new work is welcome."""
-        return self.sync.current and not self.book.draining
+        """Return whether this process accepts new requests."""
+        return self.sync.current and not self.request_registry.draining
 
     def config_offset(self) -> int:
-        """Return how much configuration this process has."""
+        """Return the log offset up to which this process has the configuration."""
         return self.sync.fold.offset
 
     def load(self) -> Load | None:
-        """Return the present load report."""
+        """Return the current load report."""
         return Load(
-            running=self.book.running,
-            queued=self.book.queued,
+            running=self.request_registry.running,
+            queued=self.request_registry.queued,
             queued_tokens=self.runner.queued_tokens,
             slots=self.runner.concurrency,
             weight_version=self.weights.state.serving,
@@ -119,39 +121,42 @@
         )
 
     def welcome(self) -> Welcome:
-        """Say who this is, in which life."""
+        """Return the Welcome message with this process's identity, incarnation and state."""
         return Welcome(
             vm_id=self._cfg.vm_id,
             incarnation=self.incarnation,
             service=self._cfg.service,
             data_center=self._cfg.data_center,
             config_offset=self.config_offset(),
-            draining=self.book.draining,
+            draining=self.request_registry.draining,
         )
 
     def on_connected(self, conn: Connection) -> None:
-        """Take in an entry."""
+        """Handle a new connection from an entry."""
         self.sync.on_peer(conn.vm_id, conn.config_offset)
 
     def on_disconnected(self, conn: Connection) -> None:
-        """Forget an entry that is out of reach."""
+        """Handle the end of an entry's connection."""
         self.sync.on_peer_lost(conn.vm_id)
 
-    def on_offset(self, conn: Connection) -> None:
-        """Take what an entry says of how much configuration it has."""
+    def on_config_offset(self, conn: Connection) -> None:
+        """Handle the configuration offset that an entry reported in a heartbeat."""
         self.sync.on_peer(conn.vm_id, conn.config_offset)
 
-    def on_config(self, conn: Connection, msg: ConfigDelta | ConfigRequest) -> None:
-        """Take configuration, or a request for it, from an entry."""
+    def on_config_message(self, conn: Connection, msg: ConfigDelta | ConfigRequest) -> None:
+        """Handle configuration records, or a request for them, from an entry."""
         self.sync.on_message(conn.vm_id, msg)
 
     def on_members(self, msg: Members) -> None:
-        """Take the members of this upstream's service."""
+        """Store the list of VMs if it is for this upstream's service."""
         if msg.service == self._cfg.service:
             self._members = msg
 
     def start(self) -> None:
-        """Open the ports and start the tasks."""
+        """Open the ports and start the background tasks.
+
+        Raises OSError if a port is in use.
+        """
         self.server = PeerServer(
             self._ctx,
             self._cfg.peer,
@@ -161,18 +166,19 @@
             self.welcome,
             self,
         )
-        self._http = _listen(self._cfg.listen, self)
-        self._spawn(self.sync.async_run())
-        self._spawn(self.weights.async_run())
-        self._spawn(self._async_sweep())
+        self._http = _start_http_server(self._cfg.listen, self)
+        self._start_task(self.sync.async_run())
+        self._start_task(self.weights.async_run())
+        self._start_task(self._async_drop_silent_entries())
         _LOGGER.info("side_started", vm_id=self._cfg.vm_id, incarnation=self.incarnation)
 
     async def async_stop(self) -> None:
-        """Refuse what has not begun, tell the entries, and finish what runs.
+        """Refuse queued requests, announce the drain, and wait for running requests to finish.
 
-        The entries are told again behind the last answer: once they have read that, they have the answers before
-        it. Closed without, the socket would drop what a slow link has not taken; the calls ran, and callers
-        would see their answers break off.
+        The drain is announced again after the last response. Messages arrive in order, so an entry
+        that acknowledges this second announcement has received all responses. Without it, closing
+        the socket would drop responses still queued for a slow link: the requests have run, but
+        their callers would receive truncated responses.
         """
         self.runner.drain()
         await self._async_announce_drain()
@@ -181,20 +187,22 @@
         await self._async_announce_drain()
 
     async def _async_announce_drain(self) -> None:
-        """Tell the entries that this process stops, and wait until they have read so.
+        """Announce the drain to the entries and wait until they have acknowledged it.
 
-        What an entry sends before it reads that would reach a socket that has closed. Its caller is told that the
-        request may have run, though it was never read; read here, it is vouched for and runs elsewhere. An entry
-        that is silent for longer has given the connection up itself.
+        A request that an entry sends before it reads the announcement would otherwise reach a
+        closed socket. Its caller would be told that the request may have run, although it was
+        never read. While the socket is open, the request is answered as not run and can run on
+        another upstream. Entries that have been silent beyond the connection's silence limit are
+        not waited for, because they have closed the connection themselves.
         """
         if self.server is None:
             return
         self.server.listener.announce_drain(self.incarnation, self._cfg.stop_timeout)
         while self.server.listener.drain_unread:
-            await self._clock.async_sleep(_STOP_POLL)
+            await self._clock.async_sleep(_DRAIN_POLL_INTERVAL)
 
     async def async_close(self) -> None:
-        """End the tasks and close the ports."""
+        """Cancel the background tasks and close the ports."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -205,40 +213,40 @@
             self.server.listener.close()
         self._ctx.destroy(linger=0)
 
-    def _on_revision(self, _: Revision) -> None:
+    def _apply_concurrency(self, _: Revision) -> None:
         spec = self.sync.fold.service(self._cfg.service)
         if spec is None:
             return
         self.runner.set_concurrency(spec.concurrency)
 
-    def _spawn(self, work: Coroutine[Any, Any, Any]) -> None:
-        task = asyncio.ensure_future(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, Any]) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _async_sweep(self) -> None:
+    async def _async_drop_silent_entries(self) -> None:
         while True:
-            await self._clock.async_sleep(_SWEEP_INTERVAL)
+            await self._clock.async_sleep(_SILENCE_CHECK_INTERVAL)
             if self.server is not None:
-                self.server.listener.drop_silent(_ENTRY_SILENT_AFTER)
+                self.server.listener.drop_silent(_ENTRY_SILENCE_TIMEOUT)
 
 
 class _HealthHandler(ProblemHandler):
-    """Answer whether the process lives, or is ready for work."""
+    """Health and readiness endpoint."""
 
     def initialize(self, side: SideProcess, readiness: bool) -> None:
-        """Take the process."""
+        """Set the process to report on, and whether to report its readiness or its health."""
         self._side = side
         self._readiness = readiness
 
     def get(self) -> None:
-        """Answer 200 or 503."""
-        good = self._side.ready or not self._readiness
-        self.set_status(200 if good else 503)
-        self.finish({"ok": good})
+        """Respond with status 200, or 503 from the readiness endpoint while not ready."""
+        healthy = self._side.ready or not self._readiness
+        self.set_status(200 if healthy else 503)
+        self.finish({"ok": healthy})
 
 
-def _listen(address: str, side: SideProcess) -> HTTPServer:
+def _start_http_server(address: str, side: SideProcess) -> HTTPServer:
     app = Application(
         [
             ("/health", _HealthHandler, {"side": side, "readiness": False}),
@@ -260,8 +268,8 @@
     try:
         side.start()
     except OSError as exc:
-        # Another process, perhaps a paused predecessor, still holds the port. Whoever starts
-        # processes has to end that one first; two would act beside one VM.
+        # Another process, possibly a paused earlier instance, still holds the port. The process
+        # manager must end it first, because two side processes must not serve the same VM.
         _LOGGER.error("cannot_listen", error=str(exc))
         await side.async_close()
         return ExitCode.UNAVAILABLE
@@ -271,5 +279,5 @@
 
 
 def run(cfg: SideSettings) -> int:
-    """Run a side process until it is told to stop; return the exit code."""
+    """Run a side process until it receives a stop signal; return the exit code."""
     return asyncio.run(_async_run(cfg))
--- a/cranberryline/side/config_sync.py
+++ b/cranberryline/side/config_sync.py
@@ -1,9 +1,4 @@
-"""Keep a side process's configuration current, from the entries connected to it.
-
-A side process never reads the log: thousands of them would be too many readers. It answers an
-entry's request too, since after the loss of all entries in an outage of the log the side processes
-are the only ones left that hold the configuration.
-"""
+"""Synchronize a side process's configuration with the entries connected to it."""
 
 import asyncio
 from datetime import timedelta
@@ -21,6 +16,7 @@
 
 __all__ = ["NotConfirmed", "SideConfigSync", "SideSyncTimings"]
 
+# Latest configuration records kept in memory to answer the requests of entries.
 RECORDS_KEPT = 300
 DROP_BAD_OFFSET = "config_bad_offset"
 DROP_BAD_REQUEST = "config_bad_request"
@@ -28,21 +24,33 @@
 
 @attrs.frozen
 class SideSyncTimings:
-    """Bounds of a side process's synchronisation."""
+    """Timings of a side process's synchronization.
+
+    `request_interval` is the time between requests until the configuration is up to date.
+    `settle_delay` is the wait before a confirmation is requested.
+    """
 
-    ask: timedelta = timedelta(milliseconds=500)
-    settle: timedelta = timedelta(milliseconds=50)
+    request_interval: timedelta = timedelta(milliseconds=500)
+    settle_delay: timedelta = timedelta(milliseconds=50)
 
 
 @attrs.frozen
 class NotConfirmed:
-    """No entry has said in time whether the fold is up to date."""
+    """No entry confirmed in time that the configuration is up to date.
+
+    `connected_entries` is the number of entries that were connected at the timeout.
+    """
 
-    entries: int
+    connected_entries: int
 
 
 class SideConfigSync:
-    """A side process's fold, fed by relay only."""
+    """Configuration state of a side process, updated only with records that entries send.
+
+    A side process never reads the log, because thousands of them would overload it. It also
+    answers the requests of entries: if all entries are lost during an outage of the log, only the
+    side processes still hold the configuration.
+    """
 
     def __init__(
         self,
@@ -52,106 +60,114 @@
         timings: SideSyncTimings | None = None,
     ) -> None:
         self.relay = ConfigRelay(ConfigFold(), RECORDS_KEPT)
-        self._port = relay_port
+        self._relay_port = relay_port
         self._clock = clock
         self._metrics = metrics
         self._timings = timings or SideSyncTimings()
         self._logger = once_per_burst(__name__, clock)
         self._current = asyncio.Event()
-        self._moved = Signal()
-        self._answered = Signal()
-        self._asked_at: timedelta | None = None
+        self._updated = Signal()
+        self._confirmed = Signal()
+        self._requested_at: timedelta | None = None
         self._confirmed_at: timedelta | None = None
 
     @property
     def fold(self) -> ConfigFold:
-        """Return the fold."""
+        """Return the configuration state folded from the records."""
         return self.relay.fold
 
     @property
     def current(self) -> bool:
-        """Return whether an entry has brought the fold up to date since the start."""
+        """Return whether the state has been up to date with an entry since the process started."""
         return self._current.is_set()
 
     async def async_wait_current(self) -> None:
-        """Wait until the fold is current."""
+        """Wait until the configuration state is current."""
         await self._current.wait()
 
-    async def async_wait_move(self, timeout: timedelta) -> bool:
-        """Wait until the fold moves on; return False after the timeout."""
-        return await self._moved.async_wait(timeout)
+    async def async_wait_for_update(self, timeout: timedelta) -> bool:
+        """Wait until new records are applied; return False after the timeout."""
+        return await self._updated.async_wait(timeout)
 
     async def async_run(self) -> None:
-        """Ask the entries until the fold is current; after that, wait for what they send."""
+        """Request records from the entries until the state is current.
+
+        After that, the entries send new records without a request.
+        """
         while not self.current:
-            self._ask()
-            await self._answered.async_wait(self._timings.ask)
+            self._request_records()
+            await self._confirmed.async_wait(self._timings.request_interval)
 
     def on_peer(self, peer: str, offset: int) -> None:
-        """Take the offset that an entry named in a Hello or heartbeat."""
+        """Handle the log offset that an entry reported in a Hello or a heartbeat.
+
+        Requests the missing records if the entry has more, or if the state is not current yet.
+        """
         if not isinstance(offset, int) or isinstance(offset, bool) or offset < 0:
-            self._drop(DROP_BAD_OFFSET, peer=peer)
+            self._count_dropped(DROP_BAD_OFFSET, peer=peer)
             return
         self.relay.set_known(peer, offset)
         if offset > self.fold.offset or not self.current:
-            self._port.send(peer, ConfigRequest(self.fold.offset + 1))
+            self._relay_port.send(peer, ConfigRequest(self.fold.offset + 1))
 
     def on_peer_lost(self, peer: str) -> None:
-        """Forget an entry whose connection ended."""
+        """Remove an entry whose connection ended."""
         self.relay.forget(peer)
 
     def on_message(self, peer: str, message: Message) -> None:
-        """Take a ConfigDelta or ConfigRequest from an entry."""
+        """Handle a ConfigDelta or a ConfigRequest from an entry."""
         if isinstance(message, ConfigRequest):
-            self._on_request(peer, message)
+            self._handle_request(peer, message)
         elif isinstance(message, ConfigDelta):
-            self._on_delta(peer, message)
+            self._handle_delta(peer, message)
 
     async def async_confirm(self, wait: timedelta) -> Result[timedelta, NotConfirmed]:
-        """Ask the entries whether the fold is up to date; return when they were asked.
+        """Ask the entries whether the configuration is up to date.
+
+        Returns the monotonic time at which they were asked. The time of the answer would make an
+        outdated state look fresh if the answer was buffered while this process was paused. The
+        delay before the request lets messages that are already buffered be read first.
 
-        The time of asking is returned, not that of the answer: an answer that sat in a buffer
-        while this process was paused would make old knowledge look fresh. The wait before asking
-        lets what sits there be read first.
+        Returns NotConfirmed if no entry confirms within `wait` after the request.
         """
-        await self._clock.async_sleep(self._timings.settle)
-        asked = self._clock.monotonic()
-        self._asked_at = asked
-        self._ask()
-        until = asked + wait
-        while self._confirmed_at is None or self._confirmed_at < asked:
-            left = until - self._clock.monotonic()
-            if left <= timedelta():
-                return Err(NotConfirmed(len(list(self._port.entry_peers()))))
-            await self._answered.async_wait(left)
-        return Ok(asked)
-
-    def _ask(self) -> None:
-        for peer in list(self._port.entry_peers()):
-            self._port.send(peer, ConfigRequest(self.fold.offset + 1))
-
-    def _on_request(self, peer: str, request: ConfigRequest) -> None:
+        await self._clock.async_sleep(self._timings.settle_delay)
+        requested_at = self._clock.monotonic()
+        self._requested_at = requested_at
+        self._request_records()
+        deadline = requested_at + wait
+        while self._confirmed_at is None or self._confirmed_at < requested_at:
+            remaining = deadline - self._clock.monotonic()
+            if remaining <= timedelta():
+                return Err(NotConfirmed(len(list(self._relay_port.entry_peers()))))
+            await self._confirmed.async_wait(remaining)
+        return Ok(requested_at)
+
+    def _request_records(self) -> None:
+        for peer in list(self._relay_port.entry_peers()):
+            self._relay_port.send(peer, ConfigRequest(self.fold.offset + 1))
+
+    def _handle_request(self, peer: str, request: ConfigRequest) -> None:
         answer = self.relay.on_request(peer, request)
         if answer is None:
-            self._drop(DROP_BAD_REQUEST, peer=peer)
+            self._count_dropped(DROP_BAD_REQUEST, peer=peer)
         elif self.current:
-            self._port.send(peer, answer)
+            self._relay_port.send(peer, answer)
 
-    def _on_delta(self, peer: str, delta: ConfigDelta) -> None:
-        taken = self.relay.on_delta(peer, delta)
-        if taken.refused:
-            self._drop(taken.refused, peer=peer)
+    def _handle_delta(self, peer: str, delta: ConfigDelta) -> None:
+        effect = self.relay.on_delta(peer, delta)
+        if effect.refused:
+            self._count_dropped(effect.refused, peer=peer)
             return
-        if taken.reply is not None:
-            self._port.send(peer, taken.reply)
-        if taken.complete and delta.next <= self.fold.offset + 1:
+        if effect.reply is not None:
+            self._relay_port.send(peer, effect.reply)
+        if effect.complete and delta.next <= self.fold.offset + 1:
             self._current.set()
-            self._confirmed_at = self._asked_at
-            self._answered.notify()
-        if taken.applied:
+            self._confirmed_at = self._requested_at
+            self._confirmed.notify()
+        if effect.applied:
             self._metrics.config_offset.set(self.fold.offset)
-            self._moved.notify()
+            self._updated.notify()
 
-    def _drop(self, reason: str, **fields: object) -> None:
+    def _count_dropped(self, reason: str, **fields: object) -> None:
         self._metrics.drop(reason)
         self._logger.warning(reason, **fields)
--- a/cranberryline/side/server.py
+++ b/cranberryline/side/server.py
@@ -1,4 +1,4 @@
-"""The side process's door: what each connected entry may ask."""
+"""Server for the entries that are connected to a side process."""
 
 from collections.abc import Callable
 
@@ -27,7 +27,7 @@
 
 
 class ServerEvents:
-    """What the door tells the side process; the default ignores everything."""
+    """Callbacks from the server to the side process; the defaults do nothing."""
 
     def on_connected(self, conn: Connection) -> None:
         """Handle a new connection."""
@@ -35,26 +35,26 @@
     def on_disconnected(self, conn: Connection) -> None:
         """Handle the end of a connection."""
 
-    def on_offset(self, conn: Connection) -> None:
-        """Handle what an entry says of how much configuration it has."""
+    def on_config_offset(self, conn: Connection) -> None:
+        """Handle the configuration offset that an entry reported in a heartbeat."""
 
-    def on_config(self, conn: Connection, msg: ConfigDelta | ConfigRequest) -> None:
-        """Handle configuration records, or a request for them."""
+    def on_config_message(self, conn: Connection, msg: ConfigDelta | ConfigRequest) -> None:
+        """Handle configuration records, or a request for them, from an entry."""
 
     def on_members(self, msg: Members) -> None:
-        """Handle what an entry tells of the VMs that serve a service."""
+        """Handle the list of VMs that serve a service."""
 
     def config_offset(self) -> int:
-        """Return how much configuration this process has."""
+        """Return the log offset up to which this process has the configuration."""
         return 0
 
     def load(self) -> Load | None:
-        """Return the present load report."""
+        """Return the current load report, or None if there is none."""
         return None
 
 
 class PeerServer(ListenerEvents):
-    """Hand each message of an entry to whom it concerns."""
+    """Dispatch the messages of entries to the runner and to the side process."""
 
     def __init__(
         self,
@@ -72,37 +72,37 @@
         self.listener = Listener(ctx, address, clock, welcome, self)
 
     def report_load(self) -> None:
-        """Send the present load to every entry."""
+        """Send the current load report to every entry."""
         load = self._events.load()
         if load is not None:
             self.listener.broadcast(load)
 
     def on_connected(self, conn: Connection) -> None:
-        """Open the connection's page in the book."""
+        """Register the connection and send the current load report."""
         self._runner.book.open(conn.name)
         self._send_load(conn)
         self._events.on_connected(conn)
 
     def on_disconnected(self, conn: Connection) -> None:
-        """Let go of what the entry was waiting for."""
+        """Handle the loss of the connection for the entry's queued and running requests."""
         self._runner.connection_lost(conn.name)
         self._events.on_disconnected(conn)
 
     def on_heartbeat(self, conn: Connection) -> None:
-        """Answer with the present load."""
+        """Reply with the current load report."""
         self._send_load(conn)
-        self._events.on_offset(conn)
+        self._events.on_config_offset(conn)
 
     def on_bad_frame(self, bad: BadFrame) -> None:
-        """Count a frame that could not be read."""
+        """Count a frame that could not be decoded."""
         self._metrics.bad_frame(bad.reason.value)
 
     def config_offset(self) -> int:
-        """Return how much configuration this process has."""
+        """Return the log offset up to which this process has the configuration."""
         return self._events.config_offset()
 
     def on_message(self, conn: Connection, msg: Message) -> None:
-        """Handle a message of an entry."""
+        """Dispatch a message from an entry."""
         if isinstance(msg, Submit):
             self._runner.submit(
                 RequestKey(conn.name, msg.id), msg, lambda reply: self.listener.send(conn, reply)
@@ -115,7 +115,7 @@
         elif isinstance(msg, Credit):
             self._runner.extend_window(RequestKey(conn.name, msg.id), msg.size)
         elif isinstance(msg, ConfigDelta | ConfigRequest):
-            self._events.on_config(conn, msg)
+            self._events.on_config_message(conn, msg)
         elif isinstance(msg, Members):
             self._events.on_members(msg)
 
--- a/tests/side/test_stop.py
+++ b/tests/side/test_stop.py
@@ -1,4 +1,4 @@
-"""A side process that stops while entries still have messages for it, or answers to get from it."""
+"""Stop of a side process while requests or responses are still in transit to or from entries."""
 
 import asyncio
 import itertools
@@ -33,16 +33,16 @@
 
 
 class _Engine(FakeUpstream):
-    """An upstream that tells no load."""
+    """An upstream whose load report cannot be requested."""
 
     async def async_load(self) -> Result[EngineLoad, PlatformError]:
-        """Return that it cannot be reached."""
+        """Return an error for an unreachable upstream."""
         return Err(PlatformError(PlatformReason.UNREACHABLE, may_have_run=False))
 
 
 @attrs.define
 class _Side:
-    """A side process, its upstream, and the address at which entries reach it."""
+    """A side process, its upstream, and the address that entries connect to."""
 
     process: SideProcess
     upstream: _Engine
@@ -50,8 +50,8 @@
 
 
 @asynccontextmanager
-async def _async_side(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[_Side]:
-    """Start a side process in the test's loop."""
+async def _async_start_side(monkeypatch: pytest.MonkeyPatch) -> AsyncIterator[_Side]:
+    """Start a side process on the test's event loop."""
     upstream = _Engine()
     monkeypatch.setattr(side_app, "HttpLog", lambda _: FakeLog())
     monkeypatch.setattr(side_app, "HttpEngine", lambda _: upstream)
@@ -71,7 +71,7 @@
 
 
 class _Entry:
-    """An entry's connection to a side process, on a loop and in a thread of its own."""
+    """An entry's connection to a side process, on a separate event loop and thread."""
 
     def __init__(self, address: str) -> None:
         ids = itertools.count(1)
@@ -84,24 +84,24 @@
         self.dialer = Dialer(self._ctx, SystemClock(), "dossiers-1", *args)
         self._running = self.start(self.dialer.async_run())
 
-    def start(self, work: Awaitable[Any]) -> "Future[Any]":
-        """Run something on the entry's loop."""
-        return asyncio.run_coroutine_threadsafe(work, self.loop)  # type: ignore[arg-type]
+    def start(self, awaitable: Awaitable[Any]) -> "Future[Any]":
+        """Run an awaitable on the entry's event loop."""
+        return asyncio.run_coroutine_threadsafe(awaitable, self.loop)  # type: ignore[arg-type]
 
-    async def async_reach(self) -> None:
-        """Wait until the connection is up."""
+    async def async_wait_connected(self) -> None:
+        """Wait until the connection is established."""
         async with asyncio.timeout(5):
-            while self.dialer.welcome is None:  # noqa: ASYNC110 - another loop's plain state
+            while self.dialer.welcome is None:  # noqa: ASYNC110 - set on another event loop
                 await asyncio.sleep(0.01)
 
     def submit(self) -> Exchange:
-        """Send a call that may not be repeated; only on the entry's loop."""
-        exchange = self.dialer.open(_submit, 0)
+        """Send a non-idempotent request; call this only on the entry's event loop."""
+        exchange = self.dialer.open(_submit_message, 0)
         assert exchange is not None
         return exchange
 
     def close(self) -> None:
-        """End the connection and the thread."""
+        """Close the connection and end the thread."""
         self._running.cancel()
         self.loop.call_soon_threadsafe(self.loop.call_later, 0.1, self.loop.stop)
         self._thread.join()
@@ -110,7 +110,7 @@
 
 
 @contextmanager
-def _entry(address: str) -> Iterator[_Entry]:
+def _running_entry(address: str) -> Iterator[_Entry]:
     entry = _Entry(address)
     try:
         yield entry
@@ -118,10 +118,10 @@
         entry.close()
 
 
-def _submit(request_id: int, life: str) -> Message:
+def _submit_message(request_id: int, incarnation: str) -> Message:
     return Submit(
         id=request_id,
-        incarnation=life,
+        incarnation=incarnation,
         service=_SERVICE,
         method="POST",
         path="/",
@@ -135,8 +135,8 @@
     )
 
 
-async def _async_follow(exchange: Exchange) -> tuple[Message | None, int]:
-    """Return the last message of an answer, or what came instead, and the length of its body."""
+async def _async_collect_response(exchange: Exchange) -> tuple[Message | None, int]:
+    """Return the final message received for a request and the length of the response body."""
     size = 0
     while True:
         msg = await exchange.async_next(5 * _SECOND)
@@ -146,57 +146,62 @@
             return msg, size
 
 
-def test_a_call_that_crosses_the_drain_is_vouched_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An entry whose loop was busy sends a call before it reads that the side process drains.
+def test_request_sent_before_drain_is_read_is_reported_as_not_run(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """An entry whose event loop is busy sends a request before it reads the drain announcement.
 
-    The side process had nothing to do and was gone by then: the connection is lost under the call, and the
-    caller is told that it may have run. It was never read. Vouched for, it runs elsewhere.
+    The idle side process had already closed its socket by then. The connection was lost with the
+    request outstanding, and the caller was told that it may have run, although it was never read.
+    Reported as not run, it can run on another upstream.
     """
 
     async def async_busy_then_submit(entry: _Entry) -> Message | None:
-        time.sleep(0.5)  # noqa: ASYNC251 - this loop is to stand still
-        return (await _async_follow(entry.submit()))[0]
+        time.sleep(0.5)  # noqa: ASYNC251 - blocks this event loop on purpose
+        return (await _async_collect_response(entry.submit()))[0]
 
-    async def scene() -> None:
-        async with _async_side(monkeypatch) as side:
-            with _entry(side.peer) as entry:
-                await entry.async_reach()
+    async def async_scenario() -> None:
+        async with _async_start_side(monkeypatch) as side:
+            with _running_entry(side.peer) as entry:
+                await entry.async_wait_connected()
                 answered = entry.start(async_busy_then_submit(entry))
                 await side.process.async_stop()
                 await side.process.async_close()
                 answer = await asyncio.wrap_future(answered)
             assert isinstance(answer, NotRun)
 
-    asyncio.run(scene())
+    asyncio.run(async_scenario())
 
 
-class _Narrow:
-    """A way to an address that can be stopped up towards the one who dialled."""
+class _PausableProxy:
+    """A TCP proxy that can pause the traffic towards the connecting side."""
 
     def __init__(self, target: str) -> None:
         self._host, _, port = target.removeprefix("tcp://").rpartition(":")
         self._port = int(port)
-        self.open = threading.Event()
-        self.open.set()
+        self.unblocked = threading.Event()
+        self.unblocked.set()
         self._server = socket.create_server(("127.0.0.1", 0))
         self.address = f"tcp://127.0.0.1:{self._server.getsockname()[1]}"
-        threading.Thread(target=self._carry, daemon=True).start()
+        threading.Thread(target=self._forward, daemon=True).start()
 
     def close(self) -> None:
-        """Let go of the port."""
+        """Close the listening port."""
         self._server.close()
 
-    def _carry(self) -> None:
-        near, _ = self._server.accept()
-        far = socket.socket()
-        far.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2**14)
-        far.connect((self._host, self._port))
-        threading.Thread(target=_copy, args=(near, far, lambda: None), daemon=True).start()
-        _copy(far, near, self.open.wait)
+    def _forward(self) -> None:
+        client_sock, _ = self._server.accept()
+        side_sock = socket.socket()
+        side_sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2**14)
+        side_sock.connect((self._host, self._port))
+        threading.Thread(
+            target=_copy, args=(client_sock, side_sock, lambda: None), daemon=True
+        ).start()
+        _copy(side_sock, client_sock, self.unblocked.wait)
 
 
 def _copy(source: socket.socket, sink: socket.socket, wait: Callable[[], object]) -> None:
-    """Copy until either end closes."""
+    """Copy data until either end closes; call `wait` before each write."""
     try:
         while data := source.recv(2**14):
             wait()
@@ -207,63 +212,66 @@
         sink.close()
 
 
-def test_answers_that_wait_for_a_slow_link_still_leave(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The runs end late in the stop, and their answers wait in the queue of a link that is slow for a second.
+def test_stop_does_not_drop_responses_queued_for_a_slow_link(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Requests finish late in the stop, while the link to the entry is blocked for one second.
 
-    Closed a moment after the last answer was queued, the socket drops what has not left: the calls ran, and
-    their callers see an answer that breaks off.
+    If the socket is closed shortly after the last response was queued, it drops the responses that
+    have not been sent: the requests have run, but their callers receive truncated responses.
     """
-    calls, size = 64, 200 * 1024
+    request_count, size = 64, 200 * 1024
 
-    async def async_ask(entry: _Entry) -> list[tuple[Message | None, int]]:
-        exchanges = [entry.submit() for _ in range(calls)]
-        return await asyncio.gather(*(_async_follow(exchange) for exchange in exchanges))
+    async def async_submit_all(entry: _Entry) -> list[tuple[Message | None, int]]:
+        exchanges = [entry.submit() for _ in range(request_count)]
+        return await asyncio.gather(*(_async_collect_response(exchange) for exchange in exchanges))
 
-    async def scene() -> None:
-        async with _async_side(monkeypatch) as side:
+    async def async_scenario() -> None:
+        async with _async_start_side(monkeypatch) as side:
             side.upstream.parts = [bytes(size)]
             side.upstream.gate.clear()
-            side.process.runner.set_concurrency(calls)
-            link = _Narrow(side.peer)
-            with _entry(link.address) as entry:
-                await entry.async_reach()
-                answers = entry.start(async_ask(entry))
+            side.process.runner.set_concurrency(request_count)
+            link = _PausableProxy(side.peer)
+            with _running_entry(link.address) as entry:
+                await entry.async_wait_connected()
+                answers = entry.start(async_submit_all(entry))
                 async with asyncio.timeout(5):
-                    while len(side.upstream.runs) < calls:  # noqa: ASYNC110 - a plain list
+                    while len(side.upstream.runs) < request_count:  # noqa: ASYNC110 - no event
                         await asyncio.sleep(0.01)
                 stop = asyncio.ensure_future(side.process.async_stop())
                 await asyncio.sleep(0.3)
-                link.open.clear()
+                link.unblocked.clear()
                 side.upstream.gate.set()
-                threading.Timer(1.0, link.open.set).start()
+                threading.Timer(1.0, link.unblocked.set).start()
                 await stop
                 await side.process.async_close()
-                got = await asyncio.wrap_future(answers)
+                responses = await asyncio.wrap_future(answers)
             link.close()
-            whole = [isinstance(last, End) and length == size for last, length in got]
-            assert whole.count(True) == calls
+            complete = [isinstance(last, End) and length == size for last, length in responses]
+            assert complete.count(True) == request_count
 
-    asyncio.run(scene())
+    asyncio.run(async_scenario())
 
 
-def test_an_entry_that_says_nothing_holds_no_stop(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An entry is frozen, or was killed a moment ago, when the side process stops.
+def test_frozen_entry_does_not_block_the_stop(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An entry is frozen, or has just been killed, when the side process stops.
 
-    Its word that it has read the drain never comes. Waited for without a bound it would hold the stop until
-    it is forced; a connection that is silent for three seconds counts as lost at both ends.
+    It never acknowledges the drain announcement. Waiting for it without a limit would delay the
+    stop until it is forced. A connection that is silent for three seconds counts as lost at both
+    ends.
     """
 
-    async def scene() -> None:
-        async with _async_side(monkeypatch) as side:
-            with _entry(side.peer) as entry:
-                await entry.async_reach()
-                thaw = threading.Event()
-                entry.loop.call_soon_threadsafe(thaw.wait)
+    async def async_scenario() -> None:
+        async with _async_start_side(monkeypatch) as side:
+            with _running_entry(side.peer) as entry:
+                await entry.async_wait_connected()
+                unfreeze = threading.Event()
+                entry.loop.call_soon_threadsafe(unfreeze.wait)
                 try:
                     async with asyncio.timeout(5):
                         await side.process.async_stop()
                         await side.process.async_close()
                 finally:
-                    thaw.set()
+                    unfreeze.set()
 
-    asyncio.run(scene())
+    asyncio.run(async_scenario())
