--- a/bench/capacity/weights.py
+++ b/bench/capacity/weights.py
@@ -23,7 +23,7 @@
     UpstreamRequest,
 )
 from cranberryline.side.config_sync import SideConfigSync
-from cranberryline.side.weights import ShiftSlots, WeightsController
+from cranberryline.side.weights import StaggeredSwapDelay, WeightsController
 from cranberryline.transport.model import ConfigDelta, ConfigRequest, Message
 
 from .report import print_fits, print_line
@@ -148,7 +148,7 @@
         entry, clock, metrics = _Entry(relay), SystemClock(), Metrics()
         sync = entry.sync = SideConfigSync(entry, clock, metrics)
         engine = _Engine(store)
-        slots = ShiftSlots(name, lambda: names)
+        slots = StaggeredSwapDelay(name, lambda: names)
         controller = WeightsController(_SERVICE, sync, engine, slots, clock, metrics)
         tasks += [asyncio.ensure_future(sync.async_run())]
         tasks += [asyncio.ensure_future(controller.async_run())]
--- a/cranberryline/side/app.py
+++ b/cranberryline/side/app.py
@@ -36,7 +36,7 @@
 
 from .config_sync import SideConfigSync
 from .server import PeerServer, ServerEvents
-from .weights import ShiftSlots, WeightsController
+from .weights import StaggeredSwapDelay, WeightsController
 
 __all__ = ["SideProcess", "run"]
 
@@ -92,7 +92,7 @@
         execution = Execution(clock, self.metrics, self.engine, self.claims)
         self.runner = Runner(clock, execution, self.metrics, self.request_registry)
         self.sync = SideConfigSync(_EntryRelayPort(self), clock, self.metrics)
-        swap_delay_policy = ShiftSlots(
+        swap_delay_policy = StaggeredSwapDelay(
             cfg.vm_id, lambda: self._members.ids, lambda: self._members.count
         )
         self.weights = WeightsController(
@@ -173,7 +173,7 @@
         _LOGGER.info("side_started", vm_id=self._cfg.vm_id, incarnation=self.incarnation)
 
     async def async_stop(self) -> None:
-        """Refuse queued requests, announce the drain, and wait for running requests to finish.
+        """Refuse queued and new requests, announce the drain, and wait for running requests.
 
         The drain is announced again after the last response. Messages arrive in order, so an entry
         that acknowledges this second announcement has received all responses. Without it, closing
--- a/cranberryline/side/weights.py
+++ b/cranberryline/side/weights.py
@@ -19,7 +19,7 @@
 
 from .config_sync import SideConfigSync
 
-__all__ = ["ShiftSlots", "SwapSlots", "WeightsController"]
+__all__ = ["StaggeredSwapDelay", "SwapDelayPolicy", "WeightsController"]
 
 # Entries confirm within milliseconds; an older confirmation dates from before a process pause.
 MAX_CONFIRMATION_AGE = timedelta(seconds=1)
@@ -43,7 +43,7 @@
 DROP_LOAD_REPORT_PREFIX = "engine_load_"
 
 
-class SwapSlots(abc.ABC):
+class SwapDelayPolicy(abc.ABC):
     """Policy that spreads the weight swaps of a service's samplers over time."""
 
     @abc.abstractmethod
@@ -51,7 +51,7 @@
         """Return the delay from when the version takes effect until this sampler swaps."""
 
 
-class ShiftSlots(SwapSlots):
+class StaggeredSwapDelay(SwapDelayPolicy):
     """Compute this member's delay from its position among the service's members.
 
     For a large service only the number of members is known, not their VM ids.
@@ -87,7 +87,7 @@
         service: str,
         sync: SideConfigSync,
         engine: EnginePort,
-        swap_delay_policy: SwapSlots,
+        swap_delay_policy: SwapDelayPolicy,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
--- a/tests/weights/test_weights_controller.py
+++ b/tests/weights/test_weights_controller.py
@@ -12,7 +12,7 @@
 from cranberryline.ports.errors import PlatformError, PlatformReason
 from cranberryline.ports.model import EngineLoad, EnginePort, UpstreamBody, UpstreamRequest
 from cranberryline.side.config_sync import SideConfigSync
-from cranberryline.side.weights import ShiftSlots, SwapSlots, WeightsController
+from cranberryline.side.weights import StaggeredSwapDelay, SwapDelayPolicy, WeightsController
 from tests.configs.config_fakes import Cluster, FakeLog, service_data, weights_data
 from tests.virtual_time import run_virtual
 
@@ -98,7 +98,7 @@
         self.change(version)
 
 
-class FixedSlots(SwapSlots):
+class FixedSlots(SwapDelayPolicy):
     """Give every engine the same swap delay."""
 
     def __init__(self, delay: float = 0.0) -> None:
@@ -112,7 +112,7 @@
 class Harness:
     """Two gateways (entries), one side process with its controller, and an engine."""
 
-    def __init__(self, engine: FakeEngine, slots: SwapSlots | None = None) -> None:
+    def __init__(self, engine: FakeEngine, slots: SwapDelayPolicy | None = None) -> None:
         self.log = FakeLog()
         self.log.put(service_data())
         self.cluster = Cluster(self.log)
@@ -391,7 +391,7 @@
     """Each of 20 engines computes its own delay; they are 0.25 s apart, as the store's rate allows."""
     names = [f"vm-{number}" for number in range(20)]
     spec = ServiceSpec("engine", "m", fetches_per_second=4.0, swap_fraction=1.0)
-    delays = sorted(ShiftSlots(name, lambda: names).delay(spec, 7) for name in names)
+    delays = sorted(StaggeredSwapDelay(name, lambda: names).delay(spec, 7) for name in names)
     gaps = [later - sooner for sooner, later in zip(delays, delays[1:], strict=False)]
     assert delays[0] == timedelta()
     assert all(gap == timedelta(seconds=0.25) for gap in gaps)
