--- a/cranberryline/entry/__init__.py
+++ b/cranberryline/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry package."""
+"""The entry process, which serves callers, trainers and operators."""
--- a/cranberryline/entry/app.py
+++ b/cranberryline/entry/app.py
@@ -63,17 +63,17 @@
 
 _LOGGER = get_logger(__name__)
 
-# The balancer asks for /ready every second or two; this long it may still send new connections.
+# The load balancer polls /ready every 1 to 2 s, and sends new connections until a poll fails.
 _BALANCER_NOTICE = timedelta(seconds=3)
-_PEER_SILENT_AFTER = timedelta(seconds=15)
-_SWEEP_INTERVAL = timedelta(seconds=5)
-_STOP_POLL = timedelta(milliseconds=50)
-# In this time the first request of a connection arrives that was made just before the port closed.
+_PEER_TIMEOUT = timedelta(seconds=15)
+_PEER_TIMEOUT_CHECK_INTERVAL = timedelta(seconds=5)
+_STOP_POLL_INTERVAL = timedelta(milliseconds=50)
+# Allows for the first request of a connection that was made just before the port was closed.
 _ARRIVAL = timedelta(milliseconds=50)
 
 
-class _Relay(RelayPort):
-    """Send configuration over the mesh to entries and over the links to side processes."""
+class _PeerRelay(RelayPort):
+    """Send configuration to entries over the mesh, and to side processes over the links."""
 
     def __init__(self, mesh: EntryMesh, links: SideLinks, metrics: Metrics) -> None:
         self._mesh = mesh
@@ -81,145 +81,145 @@
         self._metrics = metrics
 
     def entry_peers(self) -> Iterable[str]:
-        """Return the connected entries."""
+        """Return the VM ids of the connected entries."""
         return self._mesh.connected()
 
     def side_peers(self) -> Iterable[str]:
-        """Return the connected side processes."""
+        """Return the VM ids of the connected side processes."""
         return self._links.connected()
 
     def send(self, peer: str, message: Message) -> None:
-        """Send a message to a peer; one that cannot be sent is dropped and counted."""
+        """Send a message to a peer; if it is not connected, drop the message and count the drop."""
         if not self._links.send(peer, message) and not self._mesh.send(peer, message):
             self._metrics.drop("peer_not_connected")
 
 
 class EntryProcess(DialerEvents, MeshEvents):
-    """Put the parts of an entry together."""
+    """Create the components of an entry, connect them, and start and stop them."""
 
     def __init__(self, cfg: EntrySettings, tokens: TokenTable, clock: Clock) -> None:
         self._cfg = cfg
         self._clock = clock
-        self._ctx = zmq.Context()
-        self._ids = itertools.count(1)
+        self._zmq_context = zmq.Context()
+        self._request_ids = itertools.count(1)
         self._http: GracefulServer | None = None
         self._tasks: set[asyncio.Future[Any]] = set()
         self.incarnation = uuid.uuid4().hex
         self.stopping = False
         self.metrics = Metrics()
         self.table = UpstreamTable()
-        self.watch = MembershipWatch(HttpVmList(cfg.vm_list_url), clock, self.metrics)
-        self.members = self.watch.membership
+        self.membership_watch = MembershipWatch(HttpVmList(cfg.vm_list_url), clock, self.metrics)
+        self.members = self.membership_watch.membership
         self.notices = MemberNotices(self.members)
         self.log = HttpLog(cfg.log_url)
-        self.directs = self._make_directs()
-        dialing = Dialing(self._ctx, clock, cfg.vm_id, self.hello, self.next_id)
-        self.links = SideLinks(dialing, self, self.table, self.metrics, self.directs)
-        self.mesh = EntryMesh(dialing, self)
-        self.sync = EntryConfigSync(
+        self.direct_upstreams = self._make_direct_upstreams()
+        dial_context = Dialing(self._zmq_context, clock, cfg.vm_id, self.hello, self.next_id)
+        self.links = SideLinks(dial_context, self, self.table, self.metrics, self.direct_upstreams)
+        self.mesh = EntryMesh(dial_context, self)
+        self.config_sync = EntryConfigSync(
             cfg.vm_id,
             self.log,
-            _Relay(self.mesh, self.links, self.metrics),
+            _PeerRelay(self.mesh, self.links, self.metrics),
             self._live_entries,
             clock,
             self.metrics,
             checkpoints=CheckpointPolicy(cfg.log_retention),
         )
-        self.book = ServiceCatalog(self.sync.fold)
+        self.catalog = ServiceCatalog(self.config_sync.fold)
         self.dispatcher = Dispatcher(
-            clock, random.Random(), self.table, self.book, self.metrics, cfg.data_center
+            clock, random.Random(), self.table, self.catalog, self.metrics, cfg.data_center
         )
         self.tokens = tokens
         scorer = NoScores() if cfg.scorer_url is None else HttpScorer(cfg.scorer_url)
-        rollouts = FoldRollouts(self.sync.fold)
+        rollouts = FoldRollouts(self.config_sync.fold)
         ports = RunnerPorts(
-            DispatcherSamples(self.dispatcher, self.book, clock),
+            DispatcherSamples(self.dispatcher, self.catalog, clock),
             scorer,
             SlowestFirst(),
             self.metrics,
             clock,
         )
-        self.steps = StepTable(ports, rollouts)
+        self.step_table = StepTable(ports, rollouts)
         owners = MeshOwners(cfg.vm_id, self.mesh, self._live_entries)
-        self.trainers = TrainerService(self.steps, rollouts, owners)
+        self.trainers = TrainerService(self.step_table, rollouts, owners)
         self.members.listen(self._on_members)
-        self.sync.fold.listen(self._on_revision)
+        self.config_sync.fold.listen(self._on_revision)
 
     @property
     def ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
-        return not self.stopping and self.sync.current and self.members.version > 0
+        """Return whether the load balancer should send requests to this entry."""
+        return not self.stopping and self.config_sync.current and self.members.version > 0
 
     def next_id(self) -> int:
-        """Return a request id that this life of the process never uses again."""
-        return next(self._ids)
+        """Return a request id that is unique within this incarnation of the process."""
+        return next(self._request_ids)
 
     def hello(self) -> Hello:
-        """Say who dials."""
+        """Return the message that identifies this entry on a new outgoing connection."""
         return Hello(
             self._cfg.vm_id, self.incarnation, "entry", self._cfg.data_center, self.config_offset()
         )
 
     def config_offset(self) -> int:
-        """Return how much configuration this entry has."""
-        return self.sync.fold.offset
+        """Return the log offset up to which this entry has the configuration."""
+        return self.config_sync.fold.offset
 
     def on_up(self, peer: Dialer, welcome: Welcome) -> None:
-        """Take in a side process that was reached."""
+        """Handle a new connection to a side process: apply its state and send it the members."""
         _LOGGER.info("side_up", peer=peer.vm_id, incarnation=welcome.incarnation)
-        self.watch.on_welcome(welcome)
-        self.sync.on_peer(peer.vm_id, welcome.config_offset)
+        self.membership_watch.on_welcome(welcome)
+        self.config_sync.on_peer(peer.vm_id, welcome.config_offset)
         self.notices.forget(peer.vm_id)
         self._send_members([peer])
         self.dispatcher.wake()
 
     def on_down(self, peer: Dialer) -> None:
-        """Forget what was known of a side process that is out of reach."""
+        """Discard the state of a side process whose connection was lost."""
         _LOGGER.info("side_down", peer=peer.vm_id)
         self.notices.forget(peer.vm_id)
-        self.sync.on_peer_lost(peer.vm_id)
+        self.config_sync.on_peer_lost(peer.vm_id)
 
     def on_drain(self, peer: Dialer, msg: Drain) -> None:
-        """Give a side process that announced its stop no new work."""
+        """Send no new requests to a side process that announced its stop."""
         _LOGGER.info("side_drains", peer=peer.vm_id, incarnation=msg.incarnation)
-        self.watch.on_drain(peer.vm_id, msg)
+        self.membership_watch.on_drain(peer.vm_id, msg)
 
     def on_load(self, peer: Dialer, msg: Load) -> None:
-        """Let waiting requests look at the upstreams again."""
+        """Reschedule queued requests after an upstream reported its load."""
         self.dispatcher.wake()
 
     def on_offset(self, peer: Dialer, offset: int) -> None:
-        """Take what a side process says of how much configuration it has."""
-        self.sync.on_peer(peer.vm_id, offset)
+        """Handle the configuration offset that a side process reported."""
+        self.config_sync.on_peer(peer.vm_id, offset)
 
     def on_config(self, peer: Dialer, msg: ConfigDelta | ConfigRequest) -> None:
-        """Take configuration, or a request for it, from a side process."""
-        self.sync.on_message(peer.vm_id, msg)
+        """Handle configuration records, or a request for them, from a side process."""
+        self.config_sync.on_message(peer.vm_id, msg)
 
     def on_entry_offset(self, vm_id: str, offset: int) -> None:
-        """Take what another entry says of how much configuration it has."""
-        self.sync.on_peer(vm_id, offset)
+        """Handle the configuration offset that another entry reported."""
+        self.config_sync.on_peer(vm_id, offset)
 
-    def on_entry_lost(self, vm_id: str) -> None:
-        """Forget what was known of an entry that is out of reach."""
-        self.sync.on_peer_lost(vm_id)
+    def on_entry_disconnected(self, vm_id: str) -> None:
+        """Discard the state of an entry when its last connection was lost."""
+        self.config_sync.on_peer_lost(vm_id)
 
     def on_entry_config(self, vm_id: str, msg: ConfigDelta | ConfigRequest) -> None:
-        """Take configuration, or a request for it, from another entry."""
-        self.sync.on_message(vm_id, msg)
+        """Handle configuration records, or a request for them, from another entry."""
+        self.config_sync.on_message(vm_id, msg)
 
     def on_bad_frame(self, bad: BadFrame) -> None:
-        """Count a frame that could not be read."""
+        """Count an invalid frame by its reason."""
         self.metrics.bad_frame(bad.reason.value)
 
-    def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run a piece of work in the background until the process ends."""
-        task = asyncio.ensure_future(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
+        """Run a coroutine in the background; it is cancelled when the process ends."""
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def start(self) -> None:
-        """Open the ports and start the tasks."""
+        """Open the ports and start the background tasks; raises OSError if a port is in use."""
         self.mesh.listen(self._cfg.peer)
         self._http = listen_http(
             self._cfg,
@@ -227,19 +227,19 @@
             self.metrics,
             alive=lambda: not self.stopping,
             ready=lambda: self.ready,
-            more=self._routes(),
+            extra_routes=self._routes(),
         )
-        self.spawn(self.sync.async_run())
-        self.spawn(self.watch.async_run())
-        self.spawn(self._async_sweep())
+        self.spawn(self.config_sync.async_run())
+        self.spawn(self.membership_watch.async_run())
+        self.spawn(self._async_drop_timed_out_peers())
         _LOGGER.info("entry_started", vm_id=self._cfg.vm_id, incarnation=self.incarnation)
 
     async def async_stop(self) -> None:
-        """Fail the health check, wait for the balancer, close the port, finish what is in flight.
+        """Fail the health checks, wait for the load balancer, close the port, finish open requests.
 
-        The server itself says what is in flight, from the read of a request to the last byte of its answer. By
-        the dispatcher's count alone connections would be closed under answers that still leave, under operators'
-        calls, and under a request that has been read and waits for its handler.
+        The HTTP server counts a request from when it is read to the last byte of the response. With
+        only the dispatcher's count, connections would be closed during responses still being sent,
+        during operators' calls, and while a request that was read waits for its handler.
         """
         self.stopping = True
         await self._clock.async_sleep(_BALANCER_NOTICE)
@@ -250,15 +250,16 @@
         _LOGGER.info("connections_at_rest_closed", count=self._http.close_at_rest())
         await self.trainers.async_close()
         while self._http.open_requests or self.dispatcher.in_flight:
-            await self._clock.async_sleep(_STOP_POLL)
-        # A call that must not be stopped runs on after its caller has left.
-        await self.directs.async_stop()
+            await self._clock.async_sleep(_STOP_POLL_INTERVAL)
+        # A request that must not be aborted continues after its caller has disconnected.
+        await self.direct_upstreams.async_stop()
         await self.mesh.async_stop()
         await self._http.close_all_connections()
 
     async def async_close(self) -> None:
-        """End the tasks and close the sockets."""
+        """Cancel the background tasks and close the sockets."""
         if self._http is not None and self._http.open_requests:
+            # The stop timed out, so these requests are cut off.
             _LOGGER.error("stop_cut", open_requests=self._http.open_requests)
         tasks = list(self._tasks)
         for task in tasks:
@@ -266,9 +267,9 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         await self.links.async_close()
         await self.mesh.async_close()
-        self._ctx.destroy(linger=0)
+        self._zmq_context.destroy(linger=0)
 
-    def _make_directs(self) -> DirectUpstreams:
+    def _make_direct_upstreams(self) -> DirectUpstreams:
         return DirectUpstreams(
             self._clock,
             self.metrics,
@@ -276,54 +277,54 @@
             self.incarnation,
             self.next_id,
             self._service_spec,
-            self._on_room,
+            self._on_slot_free,
         )
 
     def _service_spec(self, service: str) -> ServiceSpec | None:
-        return self.sync.fold.service(service)
+        return self.config_sync.fold.service(service)
 
-    def _on_room(self) -> None:
+    def _on_slot_free(self) -> None:
         self.dispatcher.wake()
 
     def _live_entries(self) -> list[str]:
         return [vm.id for vm in self.members.entries()]
 
     def _on_revision(self, _: Revision) -> None:
-        self.directs.update_concurrency()
+        self.direct_upstreams.update_concurrency()
         self.dispatcher.wake()
-        self.steps.wake()
+        self.step_table.wake()
 
     async def async_serve_peer(self, req: PeerRequest) -> PeerReply:
-        """Answer a trainer's call that another entry passed on."""
+        """Handle a trainer's request that another entry forwarded."""
         status, body = await self.trainers.async_serve_peer(req.method, req.path, req.body)
         return PeerReply(status, body)
 
     def _routes(self) -> list[Route]:
         operators = OperatorContext(
             vm_id=self._cfg.vm_id,
-            fold=self.sync.fold,
-            publisher=ConfigPublisher(self.log, self.sync, self._clock),
+            fold=self.config_sync.fold,
+            publisher=ConfigPublisher(self.log, self.config_sync, self._clock),
             metrics=self.metrics,
-            current=lambda: self.sync.current,
+            current=lambda: self.config_sync.current,
             peers=self._peer_status,
             tokens=self.tokens,
         )
         return [*operator_routes(operators), *trainer_routes(self.trainers, self._check_trainer)]
 
     def _check_trainer(self, handler: RequestHandler, trainer: str) -> bool:
-        """Let a trainer ask for its own steps only."""
-        checked = self.tokens.check(handler.request.headers.get("Authorization"), Role.TRAINER)
-        if isinstance(checked, Ok) and checked.unwrap() == trainer:
+        """Return whether the token is this trainer's own; if not, respond with a problem document."""
+        token_check = self.tokens.check(handler.request.headers.get("Authorization"), Role.TRAINER)
+        if isinstance(token_check, Ok) and token_check.unwrap() == trainer:
             return True
-        refusal = checked.err() or TokenRefusal.WRONG_ROLE
+        refusal = token_check.err() or TokenRefusal.WRONG_ROLE
         self.metrics.refuse(refusal.value)
-        write_problem(handler, refusal.status, refusal.value, "this trainer's token is needed")
+        write_problem(handler, refusal.status, refusal.value, "this trainer's token is required")
         return False
 
     def _peer_status(self) -> list[PeerStatus]:
-        return [self._row_status(vm) for vm in self.members.all() if vm.id != self._cfg.vm_id]
+        return [self._vm_status(vm) for vm in self.members.all() if vm.id != self._cfg.vm_id]
 
-    def _row_status(self, vm: VmEntry) -> PeerStatus:
+    def _vm_status(self, vm: VmEntry) -> PeerStatus:
         link = self.links.get(vm.id)
         load = None if link is None else link.load
         return PeerStatus(
@@ -332,7 +333,7 @@
             service=vm.service,
             state=self.members.state(vm.id).value,
             connected=vm.id in self.links.connected() or vm.id in self.mesh.connected(),
-            config_offset=self.sync.relay.known(vm.id),
+            config_offset=self.config_sync.relay.known(vm.id),
             weight_version=None if load is None else load.weight_version,
         )
 
@@ -341,9 +342,9 @@
             clock=self._clock,
             metrics=self.metrics,
             dispatcher=self.dispatcher,
-            book=self.book,
+            book=self.catalog,
             tokens=self.tokens,
-            ready=lambda: self.sync.current,
+            ready=lambda: self.config_sync.current,
             log=once_per_burst("cranberryline.entry.proxy", self._clock),
         )
 
@@ -351,19 +352,19 @@
         self.links.apply(self.members)
         self._send_members(self.table.all())
         self.mesh.apply_members(self.members.entries())
-        self.sync.on_members()
+        self.config_sync.on_members()
         self.dispatcher.wake()
 
     def _send_members(self, peers: Sequence[UpstreamLink]) -> None:
-        """Tell side processes who else serves their service, for the order of weight swaps."""
+        """Send side processes the members of their service, which set the order of weight swaps."""
         connected = {peer.vm_id: peer for peer in peers if peer.welcome is not None}
         for vm_id, notice in self.notices.due(connected):
             connected[vm_id].send(notice)
 
-    async def _async_sweep(self) -> None:
+    async def _async_drop_timed_out_peers(self) -> None:
         while True:
-            await self._clock.async_sleep(_SWEEP_INTERVAL)
-            self.mesh.drop_silent(_PEER_SILENT_AFTER)
+            await self._clock.async_sleep(_PEER_TIMEOUT_CHECK_INTERVAL)
+            self.mesh.drop_timed_out(_PEER_TIMEOUT)
 
 
 async def _async_run(cfg: EntrySettings, tokens: TokenTable) -> int:
@@ -373,8 +374,8 @@
     try:
         entry.start()
     except OSError as exc:
-        # Another process, perhaps a paused predecessor, still holds the port. Whoever starts
-        # processes has to end that one first; two would act beside one VM.
+        # Another process, possibly a suspended earlier one, still uses the port. The supervisor has
+        # to end it first, since two processes must not run for the same VM.
         _LOGGER.error("cannot_listen", error=str(exc))
         await entry.async_close()
         return ExitCode.UNAVAILABLE
@@ -384,7 +385,7 @@
 
 
 def run(cfg: EntrySettings) -> int:
-    """Run an entry until it is told to stop; return the exit code."""
+    """Run an entry until it is signalled to stop; return the exit code."""
     tokens = load_tokens(cfg.tokens_file)
     if isinstance(tokens, Err):
         sys.stderr.write(f"{tokens.unwrap_err()}\n")
--- a/cranberryline/entry/config_sync.py
+++ b/cranberryline/entry/config_sync.py
@@ -1,9 +1,4 @@
-"""Keep an entry's configuration current: tail the log or take records from entries that do.
-
-The first few entries by rendezvous hash tail the log. The others get records, and signs of life,
-from them. An entry that hears no sign tails the log itself, so no election and no lease decides
-who may: too many tailers cost reads, never a wrong fold.
-"""
+"""Keep an entry's configuration current: tail the log, or receive records from entries that do."""
 
 import asyncio
 import random
@@ -32,41 +27,47 @@
 
 __all__ = ["TAILER_KEY", "EntryConfigSync", "SyncTimings"]
 
+# Reasons of the drop counter; the same texts are the names of the log events.
 DROP_BAD_OFFSET = "config_bad_offset"
 DROP_CHECKPOINT = "config_checkpoint_failed"
 DROP_DIGEST = "config_digest_mismatch"
 DROP_PREFIX = "config_"
 LOG_PREFIX = "config_log_"
-MIN_WAIT = timedelta(milliseconds=10)
+MIN_TAKEOVER_WAIT = timedelta(milliseconds=10)
 RETRY_PUSH = "config_push"
 
 
 @attrs.frozen
 class SyncTimings:
-    """Bounds of the synchronisation; with these, a record is everywhere within 4 s.
+    """Intervals and timeouts of the synchronisation; a record reaches all processes within 4 s.
 
-    The worst case is that all tailers die at once: up to `silence` and `stagger` after the last
-    sign the others tail, and read. A log poll is kept short, since a connection to the log that
-    went silent is only noticed when the poll is overdue.
+    In the worst case all tailers fail at once. The next ranks then start to tail, `takeover_step`
+    apart and at most `heartbeat_timeout` plus `max_takeover_delay` after the last heartbeat. Polls
+    are short, as an unresponsive connection to the log is noticed only when a poll is overdue.
     """
 
     tailers: int = 3
-    sign: timedelta = timedelta(seconds=1)
-    silence: timedelta = timedelta(seconds=2.5)
-    stagger: timedelta = timedelta(milliseconds=50)
-    max_stagger: timedelta = timedelta(milliseconds=500)
-    poll: timedelta = timedelta(seconds=5)
-    call: timedelta = timedelta(seconds=2)
-    start: timedelta = timedelta(seconds=10)
+    heartbeat_interval: timedelta = timedelta(seconds=1)
+    heartbeat_timeout: timedelta = timedelta(seconds=2.5)
+    takeover_step: timedelta = timedelta(milliseconds=50)
+    max_takeover_delay: timedelta = timedelta(milliseconds=500)
+    poll_timeout: timedelta = timedelta(seconds=5)
+    call_timeout: timedelta = timedelta(seconds=2)
+    start_timeout: timedelta = timedelta(seconds=10)
     tick: timedelta = timedelta(milliseconds=500)
     idle_tick: timedelta = timedelta(seconds=5)
     min_backoff: timedelta = timedelta(milliseconds=200)
     max_backoff: timedelta = timedelta(seconds=2)
-    max_resend: timedelta = timedelta(seconds=8)
+    max_resend_delay: timedelta = timedelta(seconds=8)
 
 
 class EntryConfigSync(FoldSource):
-    """The tasks that keep one entry's fold current, and push records to its peers."""
+    """Keep one entry's configuration fold current, and push its records to peers.
+
+    The first few entries by rendezvous hash tail the log and send records and heartbeats to the
+    other entries. An entry that receives no heartbeat tails the log itself. No election or lease
+    is needed: surplus tailers cost additional reads, but cannot make a fold wrong.
+    """
 
     def __init__(
         self,
@@ -81,46 +82,46 @@
     ) -> None:
         self._vm_id = vm_id
         self._log = log
-        self._port = relay_port
+        self._relay_port = relay_port
         self._clock = clock
         self._metrics = metrics
         self._timings = timings or SyncTimings()
         self._checkpoints = checkpoints or CheckpointPolicy()
         self._logger = once_per_burst(__name__, clock)
         self._ranking = TailerRanking(vm_id, live_entries, self._timings.tailers)
-        self._resends = ResendSchedule(self._timings.tick, self._timings.max_resend)
+        self._resends = ResendSchedule(self._timings.tick, self._timings.max_resend_delay)
         self.relay = ConfigRelay(ConfigFold())
         self._tail = LogTail(log, self.relay, self._on_rejected)
         self._current = asyncio.Event()
-        self._moved = Signal()
+        self._offset_changed = Signal()
         self._role_changed = Signal()
-        self._work = Signal()
-        self._last_sign = clock.monotonic()
+        self._resend_added = Signal()
+        self._heartbeat_at = clock.monotonic()
         self._last_read: timedelta | None = None
-        self._last_beat: timedelta | None = None
-        self._mismatches = 0
+        self._heartbeat_sent_at: timedelta | None = None
+        self._seen_digest_mismatches = 0
 
     @property
     def fold(self) -> ConfigFold:
-        """Return the fold."""
+        """Return the configuration in force, folded from the records of the log."""
         return self.relay.fold
 
     @property
     def current(self) -> bool:
-        """Return whether the log or a peer has brought the fold up to date since the start."""
+        """Return whether the fold has been up to date with the log or a peer since the start."""
         return self._current.is_set()
 
     @property
     def tailing(self) -> bool:
-        """Return whether this entry reads the log itself."""
+        """Return whether this entry reads the log itself: by rank, at start, or as a fallback."""
         rank = self._ranking.rank()
-        return not self.current or rank < self._timings.tailers or self._silent(rank)
+        return not self.current or rank < self._timings.tailers or self._heartbeat_overdue(rank)
 
     def delta_since(self, start: int) -> ConfigDelta:
-        """Return records from an offset on, or the whole fold."""
+        """Return the records from an offset on, or the whole fold if they are no longer kept."""
         return self.relay.delta_since(start)
 
-    def known(self, peer: str) -> int | None:
+    def known_offset(self, peer: str) -> int | None:
         """Return the offset that a peer is known to have, or None."""
         return self.relay.known(peer)
 
@@ -129,123 +130,128 @@
         await self._current.wait()
 
     async def async_wait_offset(self, offset: int) -> None:
-        """Wait until the fold has an offset."""
+        """Wait until the fold has reached an offset."""
         while self.fold.offset < offset:
-            await self._moved.async_wait(self._timings.tick)
+            await self._offset_changed.async_wait(self._timings.tick)
 
     async def async_run(self) -> None:
-        """Run until cancelled."""
-        self._last_sign = self._clock.monotonic()
+        """Run the tasks until cancelled; the names of their functions appear in the log."""
+        self._heartbeat_at = self._clock.monotonic()
         async with asyncio.TaskGroup() as group:
-            for work in (self._async_tail, self._async_ticks, self._async_checkpoints):
+            for run_task in (self._async_tail, self._async_ticks, self._async_checkpoints):
                 group.create_task(
                     async_keep_running(
-                        work.__name__, work, self._clock, self._logger, self._metrics
+                        run_task.__name__, run_task, self._clock, self._logger, self._metrics
                     )
                 )
 
     def on_members(self) -> None:
-        """Look anew at who tails; call it when the live entries change."""
+        """Check again which entries tail the log; call this when the live entries change."""
         self._role_changed.notify()
 
     def on_peer(self, peer: str, offset: int) -> None:
-        """Take the offset that a peer named in a Hello, Welcome, heartbeat or load report."""
+        """Handle the offset that a peer sent in a Hello, Welcome, heartbeat or load report.
+
+        Requests records if the peer has newer ones, and pushes records if it is behind.
+        """
         if not isinstance(offset, int) or isinstance(offset, bool) or offset < 0:
-            self._drop(DROP_BAD_OFFSET, peer=peer)
+            self._record_drop(DROP_BAD_OFFSET, peer=peer)
             return
         self.relay.set_known(peer, offset)
         if offset > self.fold.offset:
-            self._port.send(peer, ConfigRequest(self.fold.offset + 1))
+            self._relay_port.send(peer, ConfigRequest(self.fold.offset + 1))
         elif self.relay.behind(peer):
             self._push(peer)
 
     def on_peer_lost(self, peer: str) -> None:
-        """Forget a peer whose connection ended."""
+        """Discard the state of a peer whose connection ended."""
         self.relay.forget(peer)
         self._resends.done(peer)
 
     def on_message(self, peer: str, message: Message) -> None:
-        """Take a ConfigDelta or ConfigRequest from a peer."""
+        """Handle a ConfigDelta or ConfigRequest from a peer."""
         if isinstance(message, ConfigRequest):
-            self._on_request(peer, message)
+            self._on_config_request(peer, message)
         elif isinstance(message, ConfigDelta):
-            self._on_delta(peer, message)
+            self._on_config_delta(peer, message)
 
     async def async_catch_up(self) -> Result[int, PlatformError]:
-        """Fold all that the log has now; return the offset."""
+        """Fold all current records of the log; return the new offset, or an error on timeout."""
         try:
-            async with asyncio.timeout(self._timings.call.total_seconds()):
-                read = await self._tail.async_read_to_end()
+            async with asyncio.timeout(self._timings.call_timeout.total_seconds()):
+                result = await self._tail.async_read_to_end()
         except TimeoutError:
-            return Err(_timed_out())
-        if isinstance(read, Err):
-            return read
-        self._after_read(read.ok_value, at_end=True)
+            return Err(_timeout_error())
+        if isinstance(result, Err):
+            return result
+        self._after_read(result.ok_value, at_end=True)
         return Ok(self.fold.offset)
 
     def fold_next(self, record: LogRecord) -> None:
-        """Fold a record that the log gave an offset, if it is the next."""
+        """Fold a record that was appended to the log, if its offset is the next one."""
         if self._tail.fold_one(record):
-            self._after_move()
+            self._on_offset_changed()
 
     async def async_spread(self, offset: int, wait: timedelta) -> int:
-        """Push to all peers; return how many entries were seen to have the offset."""
-        self._push_all()
-        peers = list(self._port.entry_peers())
-        wanted = min(len(peers), max(1, self._timings.tailers - 1))
-        until = self._clock.monotonic() + wait
-        while (have := self._count_with(peers, offset)) < wanted:
-            left = until - self._clock.monotonic()
-            if left <= timedelta():
+        """Push to all peers; return how many entries confirmed the offset within the wait."""
+        self._push_to_all()
+        peers = list(self._relay_port.entry_peers())
+        required = min(len(peers), max(1, self._timings.tailers - 1))
+        deadline = self._clock.monotonic() + wait
+        while (confirmed := self._count_at_offset(peers, offset)) < required:
+            remaining = deadline - self._clock.monotonic()
+            if remaining <= timedelta():
                 break
-            await self._moved.async_wait(left)
-        return have
+            await self._offset_changed.async_wait(remaining)
+        return confirmed
 
-    def _count_with(self, peers: list[str], offset: int) -> int:
+    def _count_at_offset(self, peers: list[str], offset: int) -> int:
         return sum((self.relay.known(peer) or 0) >= offset for peer in peers)
 
-    def _silent(self, rank: int) -> bool:
-        return self._until_silent(rank) < timedelta()
+    def _heartbeat_overdue(self, rank: int) -> bool:
+        return self._until_takeover(rank) < timedelta()
 
-    def _until_silent(self, rank: int) -> timedelta:
-        over = max(0, rank - self._timings.tailers)
-        stagger = min(self._timings.stagger * over, self._timings.max_stagger)
-        return self._last_sign + self._timings.silence + stagger - self._clock.monotonic()
+    def _until_takeover(self, rank: int) -> timedelta:
+        ranks_behind = max(0, rank - self._timings.tailers)
+        delay = min(self._timings.takeover_step * ranks_behind, self._timings.max_takeover_delay)
+        return (
+            self._heartbeat_at + self._timings.heartbeat_timeout + delay - self._clock.monotonic()
+        )
 
-    def _on_request(self, peer: str, request: ConfigRequest) -> None:
-        answer = self.relay.on_request(peer, request)
-        if answer is None:
-            self._drop(DROP_PREFIX + "bad_request", peer=peer)
+    def _on_config_request(self, peer: str, request: ConfigRequest) -> None:
+        response = self.relay.on_request(peer, request)
+        if response is None:
+            self._record_drop(DROP_PREFIX + "bad_request", peer=peer)
             return
         if not self.relay.behind(peer):
             self._resends.done(peer)
-            self._moved.notify()
-        # An entry that has just started knows little. Its "nothing newer" would make another
-        # starter take an empty configuration for the one in force.
-        if self.current or isinstance(answer, ConfigRequest):
-            self._port.send(peer, answer)
-
-    def _on_delta(self, peer: str, delta: ConfigDelta) -> None:
-        taken = self.relay.on_delta(peer, delta)
-        if taken.refused:
-            self._drop(taken.refused, peer=peer)
+            self._offset_changed.notify()
+        # An entry that is not current yet must not answer "nothing newer": another starting entry
+        # would treat an empty configuration as the one in force.
+        if self.current or isinstance(response, ConfigRequest):
+            self._relay_port.send(peer, response)
+
+    def _on_config_delta(self, peer: str, delta: ConfigDelta) -> None:
+        outcome = self.relay.on_delta(peer, delta)
+        if outcome.refused:
+            self._record_drop(outcome.refused, peer=peer)
             return
-        if peer in self._port.entry_peers():
-            self._last_sign = self._clock.monotonic()
-        if taken.reply is not None:
-            self._port.send(peer, taken.reply)
-        became_current = taken.complete and delta.next <= self.fold.offset + 1
-        self._after_read(taken.applied, became_current)
+        if peer in self._relay_port.entry_peers():
+            self._heartbeat_at = self._clock.monotonic()
+        if outcome.reply is not None:
+            self._relay_port.send(peer, outcome.reply)
+        became_current = outcome.complete and delta.next <= self.fold.offset + 1
+        self._after_read(outcome.applied, became_current)
 
     def _on_rejected(self, record: LogRecord, rejected: Rejected) -> None:
-        self._drop(
+        self._record_drop(
             DROP_PREFIX + rejected.reason.value,
             record_id=record.id,
             offset=record.offset,
             detail=rejected.detail,
         )
 
-    def _drop(self, reason: str, **fields: object) -> None:
+    def _record_drop(self, reason: str, **fields: object) -> None:
         self._metrics.drop(reason)
         self._logger.warning(reason, **fields)
 
@@ -254,17 +260,17 @@
         if newly_current:
             self._current.set()
         if moved or newly_current:
-            self._after_move()
+            self._on_offset_changed()
 
-    def _after_move(self) -> None:
+    def _on_offset_changed(self) -> None:
         self._metrics.config_offset.set(self.fold.offset)
-        if self.fold.digest_mismatches > self._mismatches:
-            self._mismatches = self.fold.digest_mismatches
-            self._drop(DROP_DIGEST, offset=self.fold.offset)
-        self._moved.notify()
-        self._push_all()
+        if self.fold.digest_mismatches > self._seen_digest_mismatches:
+            self._seen_digest_mismatches = self.fold.digest_mismatches
+            self._record_drop(DROP_DIGEST, offset=self.fold.offset)
+        self._offset_changed.notify()
+        self._push_to_all()
 
-    def _push_all(self) -> None:
+    def _push_to_all(self) -> None:
         for peer in self._peers():
             if self.relay.behind(peer):
                 self._push(peer)
@@ -273,73 +279,77 @@
         if not self.current:
             return
         if not self._resends.pending:
-            self._work.notify()
+            self._resend_added.notify()
         self._resends.sent(peer, self._clock.monotonic())
-        self._port.send(peer, self.relay.push_for(peer))
+        self._relay_port.send(peer, self.relay.push_for(peer))
 
     def _peers(self) -> list[str]:
-        return [*self._port.entry_peers(), *self._port.side_peers()]
+        return [*self._relay_port.entry_peers(), *self._relay_port.side_peers()]
 
     async def _async_tail(self) -> None:
         backoff = self._timings.min_backoff
         while True:
             if not self.tailing:
                 self._last_read = None
-                left = self._until_silent(self._ranking.rank())
-                await self._role_changed.async_wait(max(left, MIN_WAIT))
+                remaining = self._until_takeover(self._ranking.rank())
+                await self._role_changed.async_wait(max(remaining, MIN_TAKEOVER_WAIT))
                 continue
-            read = await self._async_poll()
-            if isinstance(read, Ok):
+            result = await self._async_poll_log()
+            if isinstance(result, Ok):
                 backoff = self._timings.min_backoff
                 continue
-            self._drop(LOG_PREFIX + read.err_value.reason.value, detail=read.err_value.detail)
+            self._record_drop(
+                LOG_PREFIX + result.err_value.reason.value, detail=result.err_value.detail
+            )
             await self._clock.async_sleep(backoff * (0.5 + random.random()))
             backoff = min(backoff * 2, self._timings.max_backoff)
 
-    async def _async_poll(self) -> Result[None, PlatformError]:
-        """Read on from the fold, holding the call open once all that exists has been read."""
-        reading = self.current and self._last_read is not None
-        wait = self._timings.poll if reading else timedelta()
-        limit = wait + (self._timings.call if self.current else self._timings.start)
+    async def _async_poll_log(self) -> Result[None, PlatformError]:
+        """Read the next records; long-poll once all existing records have been read."""
+        long_polling = self.current and self._last_read is not None
+        wait = self._timings.poll_timeout if long_polling else timedelta()
+        limit = wait + (self._timings.call_timeout if self.current else self._timings.start_timeout)
         try:
             async with asyncio.timeout(limit.total_seconds()):
-                read = await self._tail.async_read(wait)
+                result = await self._tail.async_read(wait)
         except TimeoutError:
-            return Err(_timed_out())
-        if isinstance(read, Err):
-            return read
+            return Err(_timeout_error())
+        if isinstance(result, Err):
+            return result
         self._last_read = self._clock.monotonic()
-        self._after_read(read.ok_value.moved, read.ok_value.at_end)
+        self._after_read(result.ok_value.moved, result.ok_value.at_end)
         return Ok(None)
 
     async def _async_ticks(self) -> None:
         while True:
-            await self._work.async_wait(self._tick_delay())
+            await self._resend_added.async_wait(self._tick_delay())
             now = self._clock.monotonic()
-            self._resend(now)
+            self._resend_due(now)
             if not self.current:
-                self._ask_peers()
+                self._request_from_peers()
                 continue
             if self.tailing:
-                self._beat(now)
+                self._send_heartbeats(now)
 
     def _tick_delay(self) -> timedelta:
         if not self.current or self._resends.pending:
             return self._timings.tick
-        return self._timings.sign if self._signed_peers() else self._timings.idle_tick
+        return (
+            self._timings.heartbeat_interval if self._heartbeat_peers() else self._timings.idle_tick
+        )
 
-    def _signed_peers(self) -> list[str]:
-        """Return the entries that count on this one's signs of life."""
+    def _heartbeat_peers(self) -> list[str]:
+        """Return the connected entries that rely on this entry's heartbeats."""
         if not self.tailing:
             return []
         tailers = self._ranking.tailers()
-        return [peer for peer in self._port.entry_peers() if peer not in tailers]
+        return [peer for peer in self._relay_port.entry_peers() if peer not in tailers]
 
-    def _ask_peers(self) -> None:
-        for peer in self._port.entry_peers():
-            self._port.send(peer, ConfigRequest(self.fold.offset + 1))
+    def _request_from_peers(self) -> None:
+        for peer in self._relay_port.entry_peers():
+            self._relay_port.send(peer, ConfigRequest(self.fold.offset + 1))
 
-    def _resend(self, now: timedelta) -> None:
+    def _resend_due(self, now: timedelta) -> None:
         for peer in self._peers():
             if not self.relay.behind(peer):
                 self._resends.done(peer)
@@ -347,21 +357,24 @@
                 self._metrics.retry(RETRY_PUSH)
                 self._push(peer)
 
-    def _beat(self, now: timedelta) -> None:
-        """Give a sign of life to the entries that do not tail.
+    def _send_heartbeats(self, now: timedelta) -> None:
+        """Send a heartbeat, which is an empty delta, to the entries that do not tail.
 
-        A tailer whose own reads have stopped, or have not begun, gives none. Otherwise entries that
-        all fell silent would reassure each other, and nobody would read.
+        A tailer whose own reads have failed or not begun sends none. Otherwise entries that all
+        lost the log could keep each other from tailing it.
         """
-        if self._last_beat is not None and now - self._last_beat < self._timings.sign:
+        if (
+            self._heartbeat_sent_at is not None
+            and now - self._heartbeat_sent_at < self._timings.heartbeat_interval
+        ):
             return
-        bound = self._timings.poll + self._timings.call
-        if self._last_read is None or now - self._last_read > bound:
+        max_read_age = self._timings.poll_timeout + self._timings.call_timeout
+        if self._last_read is None or now - self._last_read > max_read_age:
             return
-        self._last_beat = now
-        sign = self.relay.delta_since(self.fold.offset + 1)
-        for peer in self._signed_peers():
-            self._port.send(peer, sign)
+        self._heartbeat_sent_at = now
+        heartbeat = self.relay.delta_since(self.fold.offset + 1)
+        for peer in self._heartbeat_peers():
+            self._relay_port.send(peer, heartbeat)
 
     async def _async_checkpoints(self) -> None:
         while True:
@@ -378,10 +391,10 @@
 
     async def _async_checkpoint(self) -> None:
         record = checkpoint_record(self.fold, self._vm_id)
-        answer = await self._log.async_append(CONFIG_STREAM, [record])
-        if isinstance(answer, Err):
-            self._drop(DROP_CHECKPOINT, detail=answer.err_value.detail)
+        response = await self._log.async_append(CONFIG_STREAM, [record])
+        if isinstance(response, Err):
+            self._record_drop(DROP_CHECKPOINT, detail=response.err_value.detail)
 
 
-def _timed_out() -> PlatformError:
+def _timeout_error() -> PlatformError:
     return PlatformError(PlatformReason.TIMEOUT, "the log did not answer in time")
--- a/cranberryline/entry/dialing.py
+++ b/cranberryline/entry/dialing.py
@@ -1,4 +1,4 @@
-"""The connections that an entry dials, each with a task of its own that keeps it."""
+"""The outgoing connections of an entry, each kept up by a task of its own."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,12 +11,12 @@
 from cranberryline.transport import Dialer, DialerEvents
 from cranberryline.transport.model import Hello
 
-__all__ = ["Dialers", "Dialing"]
+__all__ = ["DialerPool", "Dialing"]
 
 
 @attrs.frozen
 class Dialing:
-    """What all connections that this entry dials have in common."""
+    """Settings and callbacks that all outgoing connections of this entry share."""
 
     ctx: zmq.Context
     clock: Clock
@@ -25,11 +25,11 @@
     next_id: Callable[[], int]
 
 
-class Dialers:
-    """Keep at most one connection to each peer, and the task that runs it."""
+class DialerPool:
+    """Hold at most one outgoing connection to each peer, and the task that runs it."""
 
-    def __init__(self, dialing: Dialing, events: DialerEvents) -> None:
-        self._dialing = dialing
+    def __init__(self, context: Dialing, events: DialerEvents) -> None:
+        self._context = context
         self._events = events
         self._dialers: dict[str, Dialer] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
@@ -38,41 +38,41 @@
         return len(self._dialers)
 
     def ids(self) -> list[str]:
-        """Return the peers that are dialled, connected or not."""
+        """Return the VM ids of all peers that are dialled, connected or not."""
         return list(self._dialers)
 
     def connected(self) -> list[str]:
-        """Return the peers that can be reached now."""
+        """Return the VM ids of the peers that are connected now."""
         return [vm_id for vm_id, dialer in self._dialers.items() if dialer.welcome is not None]
 
     def get(self, vm_id: str) -> Dialer | None:
-        """Return the connection to a peer."""
+        """Return the connection to a peer, or None if it is not dialled."""
         return self._dialers.get(vm_id)
 
-    def dial(self, row: VmEntry) -> Dialer:
-        """Return the connection to a peer, begun now if there is none."""
-        dialer = self._dialers.get(row.id)
+    def dial(self, vm: VmEntry) -> Dialer:
+        """Return the connection to a peer, and start one if there is none."""
+        dialer = self._dialers.get(vm.id)
         if dialer is None:
-            common = self._dialing
-            dialer = self._dialers[row.id] = Dialer(
-                common.ctx,
-                common.clock,
-                row.id,
-                row.peer,
-                common.hello,
+            context = self._context
+            dialer = self._dialers[vm.id] = Dialer(
+                context.ctx,
+                context.clock,
+                vm.id,
+                vm.peer,
+                context.hello,
                 self._events,
-                common.next_id,
+                context.next_id,
             )
-            self._tasks[row.id] = asyncio.ensure_future(dialer.async_run())
+            self._tasks[vm.id] = asyncio.ensure_future(dialer.async_run())
         return dialer
 
-    def release(self, vm_id: str) -> asyncio.Task[None]:
-        """Forget a peer; its connection stays until the caller cancels the task."""
+    def detach(self, vm_id: str) -> asyncio.Task[None]:
+        """Remove a peer; its connection stays open until the caller cancels the returned task."""
         del self._dialers[vm_id]
         return self._tasks.pop(vm_id)
 
     async def async_close(self) -> None:
-        """End every connection."""
+        """Close all connections of the pool."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
--- a/cranberryline/entry/http.py
+++ b/cranberryline/entry/http.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP surface: which path goes to which handler."""
+"""The entry's HTTP server, and the handler of each path."""
 
 from collections.abc import Callable
 from typing import Any
@@ -22,25 +22,25 @@
 
 
 class _HealthHandler(ProblemHandler):
-    """Answer whether the process lives, or is ready for work."""
+    """Report whether the process is alive, or whether it is ready for requests."""
 
     def initialize(self, good: Callable[[], bool]) -> None:
-        """Take the question."""
-        self._good = good
+        """Set the health check; `good` returns whether it passes."""
+        self._check = good
 
     def get(self) -> None:
-        """Answer 200 or 503."""
-        good = self._good()
-        self.set_status(STATUS_OK if good else STATUS_UNAVAILABLE)
-        self.finish({"ok": good})
+        """Return 200 if the check passes, 503 if not."""
+        passed = self._check()
+        self.set_status(STATUS_OK if passed else STATUS_UNAVAILABLE)
+        self.finish({"ok": passed})
 
 
 class _NotFoundHandler(ProblemHandler):
-    """Answer paths that do not exist."""
+    """Handle requests for unknown paths."""
 
     def prepare(self) -> None:
-        """Refuse with a problem."""
-        write_problem(self, STATUS_NOT_FOUND, "unknown_path", "there is no such path")
+        """Return a 404 problem document."""
+        write_problem(self, STATUS_NOT_FOUND, "unknown_path", "the path does not exist")
 
 
 def listen_http(
@@ -49,9 +49,12 @@
     metrics: Metrics,
     alive: Callable[[], bool],
     ready: Callable[[], bool],
-    more: list[Route],
+    extra_routes: list[Route],
 ) -> GracefulServer:
-    """Open the HTTP port."""
+    """Open the HTTP port with the given routes, and return its server.
+
+    Raises OSError if the port is in use.
+    """
     app = Application(
         [
             (r"/services/([^/]+)/(.*)", ServiceHandler, {"context": context}),
@@ -59,7 +62,7 @@
             ("/health", _HealthHandler, {"good": alive}),
             ("/ready", _HealthHandler, {"good": ready}),
             ("/metrics", MetricsHandler, {"metrics": metrics}),
-            *more,
+            *extra_routes,
         ],
         default_handler_class=_NotFoundHandler,
         log_function=lambda _: None,
--- a/cranberryline/entry/notices.py
+++ b/cranberryline/entry/notices.py
@@ -1,4 +1,4 @@
-"""Tell side processes of the members of their service, and only what is new to them."""
+"""Notices that inform side processes of the members of their service, sent only on changes."""
 
 from collections.abc import Iterable
 
@@ -8,36 +8,36 @@
 
 __all__ = ["MAX_LISTED_MEMBERS", "MemberNotices"]
 
-# All ids of 7,300 upstreams are 100 KB, to each of 28 side processes at each change of the list,
-# which is every half minute: ten times what control may send. Above this size side processes need
-# the count alone, since they take their turns by hash.
+# A notice with the ids of 7,300 upstreams takes 100 KB. It would go to each of 28 side processes at
+# each change of the list, about every 30 s, which is ten times the limit for control traffic. In
+# services above this size, side processes need only the count: they choose their turns by hash.
 MAX_LISTED_MEMBERS = 64
 
 
 class MemberNotices:
-    """Keep what each connected side process was told last."""
+    """Create member notices, and keep the last one of each connected side process."""
 
     def __init__(self, members: Membership) -> None:
         self._members = members
-        self._told: dict[str, Members] = {}
+        self._last_notices: dict[str, Members] = {}
 
     def due(self, peers: Iterable[str]) -> list[tuple[str, Members]]:
-        """Return the notices that are news to these side processes, and note them as told."""
+        """Return the notices that differ from the last ones of these side processes, as now sent."""
         by_service = self._ids_by_service()
-        found = []
+        changed = []
         for peer in peers:
-            row = self._members.get(peer)
-            if row is None or row.role is not VmRole.UPSTREAM:
+            vm = self._members.get(peer)
+            if vm is None or vm.role is not VmRole.UPSTREAM:
                 continue
-            notice = _notice(row.service, by_service.get(row.service, []))
-            if self._told.get(peer) != notice:
-                self._told[peer] = notice
-                found.append((peer, notice))
-        return found
+            notice = _notice(vm.service, by_service.get(vm.service, []))
+            if self._last_notices.get(peer) != notice:
+                self._last_notices[peer] = notice
+                changed.append((peer, notice))
+        return changed
 
     def forget(self, peer: str) -> None:
-        """Forget a connection that ended: what is behind the next one may know nothing."""
-        self._told.pop(peer, None)
+        """Discard the last notice of a lost connection; the next one may reach a new process."""
+        self._last_notices.pop(peer, None)
 
     def _ids_by_service(self) -> dict[str, list[str]]:
         by_service: dict[str, list[str]] = {}
--- a/tests/entry/test_member_notices.py
+++ b/tests/entry/test_member_notices.py
@@ -1,4 +1,4 @@
-"""What an entry tells side processes of the members of their service."""
+"""Notices that inform side processes of the members of their service."""
 
 import pytest
 
@@ -8,8 +8,8 @@
 from cranberryline.upstreams import Membership
 
 
-def membership(count: int) -> Membership:
-    """Return a member list with one service of that many upstreams."""
+def make_membership(count: int) -> Membership:
+    """Return a membership with one service of `count` upstreams."""
     members = Membership()
     rows = tuple(
         VmEntry(
@@ -27,25 +27,33 @@
     return members
 
 
-def test_a_small_service_is_listed() -> None:
-    """Side processes of a small service take turns that never meet, so they need all ids."""
-    [(peer, notice)] = MemberNotices(membership(6)).due(["sampler-00002"])
+def test_notice_of_a_small_service_lists_all_ids() -> None:
+    """A missing id breaks the order in which side processes take turns without overlap."""
+    [(peer, notice)] = MemberNotices(make_membership(6)).due(["sampler-00002"])
     assert peer == "sampler-00002"
     assert notice.ids == tuple(f"sampler-{n:05}" for n in range(6))
     assert notice.count == 6
 
 
 @pytest.mark.parametrize("count", [MAX_LISTED_MEMBERS + 1, 7300])
-def test_the_notice_of_a_large_service_does_not_grow(count: int) -> None:
-    """With all 7,300 ids a notice was 100 KB, to each of 28 side processes at each change."""
-    [(_, notice)] = MemberNotices(membership(count)).due(["sampler-00002"])
+def test_notice_of_a_large_service_contains_only_the_count(count: int) -> None:
+    """The notice grows with the service, and exceeds the limit for control traffic.
+
+    With the ids of 7,300 upstreams it took 100 KB, and went to each of 28 side processes at each
+    change of the list.
+    """
+    [(_, notice)] = MemberNotices(make_membership(count)).due(["sampler-00002"])
     assert (notice.ids, notice.count) == ((), count)
     assert sum(map(len, encode([notice]))) < 64
 
 
-def test_a_notice_is_sent_once_to_each_connection() -> None:
-    """A change of another service's members is nothing to tell; a new connection is told."""
-    notices = MemberNotices(membership(6))
+def test_unchanged_notice_is_sent_once_per_connection() -> None:
+    """A side process gets a notice that it already has, or none after it has reconnected.
+
+    Other services' members change often, which must not cause a notice. The process behind a new
+    connection may have been restarted, so it gets the notice again.
+    """
+    notices = MemberNotices(make_membership(6))
     assert len(notices.due(["sampler-00001", "sampler-00002"])) == 2
     assert notices.due(["sampler-00001", "sampler-00002"]) == []
     notices.forget("sampler-00001")
--- a/tests/entry/test_mesh.py
+++ b/tests/entry/test_mesh.py
@@ -1,4 +1,4 @@
-"""Entries that reach each other, and one that is not there."""
+"""Requests that one entry forwards to another, which may be down."""
 
 import asyncio
 import itertools
@@ -19,32 +19,32 @@
 
 
 class _Events(MeshEvents):
-    """Answer a trainer's call with its own path."""
+    """Responds to a forwarded request with its own path."""
 
     async def async_serve_peer(self, req: PeerRequest) -> PeerReply:
         return PeerReply(200, req.path.encode())
 
 
 class _CountingClock(SystemClock):
-    """Count the naps of those who wait for a connection."""
+    """Counts the sleeps while the mesh waits for a connection."""
 
     def __init__(self) -> None:
-        self.naps = 0
+        self.sleeps = 0
 
     async def async_sleep(self, duration: timedelta) -> None:
-        self.naps += 1
+        self.sleeps += 1
         await super().async_sleep(duration)
 
 
 @pytest.fixture
 def ctx() -> Iterator[zmq.Context]:
-    """Return a socket context that is destroyed after the test."""
+    """Return a ZeroMQ context that is destroyed after the test."""
     context = zmq.Context()
     yield context
     context.destroy(linger=0)
 
 
-def _row(vm_id: str) -> VmEntry:
+def _make_vm(vm_id: str) -> VmEntry:
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port = sock.getsockname()[1]
@@ -57,14 +57,14 @@
     return EntryMesh(Dialing(ctx, clock, vm_id, lambda: hello, lambda: next(ids)), _Events())
 
 
-def test_a_trainers_call_reaches_the_owner(ctx: zmq.Context) -> None:
-    """The entry that took the call gets the owner's answer."""
+def test_forwarded_request_gets_the_response_of_the_owner(ctx: zmq.Context) -> None:
+    """A request forwarded to the owner of a step gets no response, or a wrong one."""
 
     async def async_case() -> None:
-        rows = [_row("entry-1"), _row("entry-2")]
-        first, second = (_mesh(ctx, row.id, SystemClock()) for row in rows)
-        second.listen(rows[1].peer)
-        first.apply_members(rows)
+        vms = [_make_vm("entry-1"), _make_vm("entry-2")]
+        first, second = (_mesh(ctx, vm.id, SystemClock()) for vm in vms)
+        second.listen(vms[1].peer)
+        first.apply_members(vms)
         reply = await first.async_request("entry-2", "POST", "/x", b"", _SECOND)
         assert reply.unwrap() == PeerReply(200, b"/x")
         for mesh in (first, second):
@@ -73,23 +73,24 @@
     asyncio.run(async_case())
 
 
-def test_an_owner_that_is_down_is_waited_for_once(ctx: zmq.Context) -> None:
-    """The trainer of a dead owner is served elsewhere without a wait before each call.
+def test_only_the_first_request_waits_for_an_owner_that_is_down(ctx: zmq.Context) -> None:
+    """Every request for an owner that is down waits for the connection timeout.
 
-    The VM list still shows the owner. The first call waits for its connection for a second; those
-    after it must not, or each pull of the trainer would lose that second until the list catches up.
+    The VM list still contains the owner. The first request waits up to 1 s for a connection. If the
+    following ones waited too, each request of the trainer would take 1 s longer until the list is
+    updated.
     """
 
     async def async_case() -> None:
         clock = _CountingClock()
         mesh = _mesh(ctx, "entry-1", clock)
-        mesh.apply_members([_row("entry-1"), _row("entry-2")])
+        mesh.apply_members([_make_vm("entry-1"), _make_vm("entry-2")])
         assert (await mesh.async_request("entry-2", "POST", "/x", b"", _SECOND)).is_err()
-        assert clock.naps > 10
-        before = clock.naps
+        assert clock.sleeps > 10
+        sleeps_before = clock.sleeps
         for _ in range(5):
             assert (await mesh.async_request("entry-2", "POST", "/x", b"", _SECOND)).is_err()
-        assert clock.naps - before <= 1
+        assert clock.sleeps - sleeps_before <= 1
         await mesh.async_close()
 
     asyncio.run(async_case())
