--- a/bench/capacity/config.py
+++ b/bench/capacity/config.py
@@ -20,7 +20,7 @@
 from cranberryline.configs.relay import RelayPort
 from cranberryline.decisions import rendezvous
 from cranberryline.entry.config_sync import EntryConfigSync
-from cranberryline.entry.mesh import MAX_FULL_MESH, TAILERS_DIALLED
+from cranberryline.entry.mesh import MAX_FULL_MESH_PEERS, TAILERS_DIALLED
 from cranberryline.entry.rollouts import FoldRollouts
 from cranberryline.helpers.clock import SystemClock
 from cranberryline.helpers.metrics import Metrics
@@ -169,7 +169,7 @@
             self._everywhere.set()
 
     def _connect(self) -> None:
-        full = len(self.entry_names) - 1 <= MAX_FULL_MESH
+        full = len(self.entry_names) - 1 <= MAX_FULL_MESH_PEERS
         for name in self.entry_names:
             for peer in self.entry_names if full else self.tailers:
                 if peer != name and peer not in self.ports[name].entries:
--- a/bench/capacity/members.py
+++ b/bench/capacity/members.py
@@ -95,7 +95,7 @@
     chosen = chooser.choose(names, upstream_ids)
     subsetted = time.process_time()
     began_members = time.process_time()
-    notices = MemberNotices(membership).due(sorted(chosen))
+    notices = MemberNotices(membership).take_changed(sorted(chosen))
     frames = [encode([notice]) for _, notice in notices]
     encoded = time.process_time()
     return {
--- a/cranberryline/entry/app.py
+++ b/cranberryline/entry/app.py
@@ -1,4 +1,4 @@
-"""The entry process: serves callers, trainers and operators."""
+"""The entry process, which serves callers, trainers and operators."""
 
 import asyncio
 import itertools
@@ -47,9 +47,9 @@
 )
 
 from .config_sync import EntryConfigSync
-from .dialing import Dialing
+from .dialing import DialContext
 from .http import Route, listen_http
-from .links import SideLinks
+from .links import UpstreamLinks
 from .membership import MembershipWatch
 from .mesh import EntryMesh, MeshEvents, PeerReply
 from .notices import MemberNotices
@@ -64,18 +64,18 @@
 _LOGGER = get_logger(__name__)
 
 # The load balancer polls /ready every 1 to 2 s, and sends new connections until a poll fails.
-_BALANCER_NOTICE = timedelta(seconds=3)
+_LOAD_BALANCER_DELAY = timedelta(seconds=3)
 _PEER_TIMEOUT = timedelta(seconds=15)
 _PEER_TIMEOUT_CHECK_INTERVAL = timedelta(seconds=5)
 _STOP_POLL_INTERVAL = timedelta(milliseconds=50)
 # Allows for the first request of a connection that was made just before the port was closed.
-_ARRIVAL = timedelta(milliseconds=50)
+_LAST_REQUEST_DELAY = timedelta(milliseconds=50)
 
 
 class _PeerRelay(RelayPort):
     """Send configuration to entries over the mesh, and to side processes over the links."""
 
-    def __init__(self, mesh: EntryMesh, links: SideLinks, metrics: Metrics) -> None:
+    def __init__(self, mesh: EntryMesh, links: UpstreamLinks, metrics: Metrics) -> None:
         self._mesh = mesh
         self._links = links
         self._metrics = metrics
@@ -113,8 +113,10 @@
         self.notices = MemberNotices(self.members)
         self.log = HttpLog(cfg.log_url)
         self.direct_upstreams = self._make_direct_upstreams()
-        dial_context = Dialing(self._zmq_context, clock, cfg.vm_id, self.hello, self.next_id)
-        self.links = SideLinks(dial_context, self, self.table, self.metrics, self.direct_upstreams)
+        dial_context = DialContext(self._zmq_context, clock, cfg.vm_id, self.hello, self.next_id)
+        self.links = UpstreamLinks(
+            dial_context, self, self.table, self.metrics, self.direct_upstreams
+        )
         self.mesh = EntryMesh(dial_context, self)
         self.config_sync = EntryConfigSync(
             cfg.vm_id,
@@ -242,11 +244,11 @@
         during operators' calls, and while a request that was read waits for its handler.
         """
         self.stopping = True
-        await self._clock.async_sleep(_BALANCER_NOTICE)
+        await self._clock.async_sleep(_LOAD_BALANCER_DELAY)
         if self._http is None:
             return
         self._http.stop()
-        await self._clock.async_sleep(_ARRIVAL)
+        await self._clock.async_sleep(_LAST_REQUEST_DELAY)
         _LOGGER.info("connections_at_rest_closed", count=self._http.close_at_rest())
         await self.trainers.async_close()
         while self._http.open_requests or self.dispatcher.in_flight:
@@ -358,7 +360,7 @@
     def _send_members(self, peers: Sequence[UpstreamLink]) -> None:
         """Send side processes the members of their service, which set the order of weight swaps."""
         connected = {peer.vm_id: peer for peer in peers if peer.welcome is not None}
-        for vm_id, notice in self.notices.due(connected):
+        for vm_id, notice in self.notices.take_changed(connected):
             connected[vm_id].send(notice)
 
     async def _async_drop_timed_out_peers(self) -> None:
--- a/cranberryline/entry/dialing.py
+++ b/cranberryline/entry/dialing.py
@@ -11,11 +11,11 @@
 from cranberryline.transport import Dialer, DialerEvents
 from cranberryline.transport.model import Hello
 
-__all__ = ["DialerPool", "Dialing"]
+__all__ = ["DialerPool", "DialContext"]
 
 
 @attrs.frozen
-class Dialing:
+class DialContext:
     """Settings and callbacks that all outgoing connections of this entry share."""
 
     ctx: zmq.Context
@@ -28,7 +28,7 @@
 class DialerPool:
     """Hold at most one outgoing connection to each peer, and the task that runs it."""
 
-    def __init__(self, context: Dialing, events: DialerEvents) -> None:
+    def __init__(self, context: DialContext, events: DialerEvents) -> None:
         self._context = context
         self._events = events
         self._dialers: dict[str, Dialer] = {}
--- a/cranberryline/entry/links.py
+++ b/cranberryline/entry/links.py
@@ -12,15 +12,15 @@
 from cranberryline.transport.model import Message
 from cranberryline.upstreams import Membership, MemberState
 
-from .dialing import DialerPool, Dialing
+from .dialing import DialContext, DialerPool
 
-__all__ = ["SideLinks"]
+__all__ = ["UpstreamLinks"]
 
 # A connection to a removed upstream stays open while responses still arrive over it.
 _IDLE_POLL_INTERVAL = timedelta(milliseconds=200)
 
 
-class SideLinks:
+class UpstreamLinks:
     """Keep a link to each upstream of this entry's subset.
 
     A link is a connection to the upstream's side process, run by its own task, or a direct link if
@@ -29,15 +29,15 @@
 
     def __init__(
         self,
-        dialing: Dialing,
+        context: DialContext,
         events: DialerEvents,
         table: UpstreamTable,
         metrics: Metrics,
         direct_upstreams: DirectUpstreams,
     ) -> None:
-        self._clock = dialing.clock
-        self._vm_id = dialing.vm_id
-        self._dialer_pool = DialerPool(dialing, events)
+        self._clock = context.clock
+        self._vm_id = context.vm_id
+        self._dialer_pool = DialerPool(context, events)
         self._table = table
         self._metrics = metrics
         self._direct_upstreams = direct_upstreams
--- a/cranberryline/entry/mesh.py
+++ b/cranberryline/entry/mesh.py
@@ -27,13 +27,13 @@
     Welcome,
 )
 
-from .dialing import DialerPool, Dialing
+from .dialing import DialContext, DialerPool
 
 __all__ = ["EntryMesh", "MeshEvents", "PeerReply"]
 
 # With up to this many other entries, each entry dials all of them. With more, it dials only those
 # that tail the log, and the owner of a trainer's step when a request for the step arrives.
-MAX_FULL_MESH = 8
+MAX_FULL_MESH_PEERS = 8
 TAILERS_DIALLED = 3
 _DIAL_TIMEOUT = timedelta(seconds=1)
 _STOP_POLL_INTERVAL = timedelta(milliseconds=20)
@@ -74,7 +74,7 @@
 class EntryMesh(ListenerEvents, DialerEvents):
     """Accept connections from other entries, dial some of them, and use whichever is connected."""
 
-    def __init__(self, dial_context: Dialing, events: MeshEvents) -> None:
+    def __init__(self, dial_context: DialContext, events: MeshEvents) -> None:
         self._dial_context = dial_context
         self._clock = dial_context.clock
         self._vm_id = dial_context.vm_id
@@ -233,7 +233,7 @@
         return dialer if dialer.welcome is not None else None
 
     def _choose_ids_to_dial(self) -> list[str]:
-        if len(self._other_entries) <= MAX_FULL_MESH:
+        if len(self._other_entries) <= MAX_FULL_MESH_PEERS:
             return list(self._other_entries)
         ranking = TailerRanking(self._vm_id, lambda: self._other_entries, TAILERS_DIALLED)
         return [vm_id for vm_id in ranking.tailers() if vm_id != self._vm_id]
--- a/cranberryline/entry/notices.py
+++ b/cranberryline/entry/notices.py
@@ -21,7 +21,7 @@
         self._members = members
         self._last_notices: dict[str, Members] = {}
 
-    def due(self, peers: Iterable[str]) -> list[tuple[str, Members]]:
+    def take_changed(self, peers: Iterable[str]) -> list[tuple[str, Members]]:
         """Return the notices that differ from the last ones of these side processes, as now sent."""
         by_service = self._ids_by_service()
         changed = []
--- a/tests/dispatch/test_direct.py
+++ b/tests/dispatch/test_direct.py
@@ -14,8 +14,8 @@
 from cranberryline.dispatch.direct import DirectUpstream, DirectUpstreams
 from cranberryline.dispatch.errors import RefusalReason
 from cranberryline.dispatch.model import CollectingSink
-from cranberryline.entry.dialing import Dialing
-from cranberryline.entry.links import SideLinks
+from cranberryline.entry.dialing import DialContext
+from cranberryline.entry.links import UpstreamLinks
 from cranberryline.helpers.clock import FakeClock, SystemClock
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.ports.errors import PlatformError, PlatformReason
@@ -292,8 +292,8 @@
 
     async def async_main() -> None:
         ctx = zmq.Context()
-        links = SideLinks(
-            Dialing(
+        links = UpstreamLinks(
+            DialContext(
                 ctx,
                 SystemClock(),
                 "entry-1",
--- a/tests/entry/entry_process.py
+++ b/tests/entry/entry_process.py
@@ -220,7 +220,7 @@
         vms.append(VmEntry(*row))
     log = SlowLog()
     _put_records(log)
-    monkeypatch.setattr(entry_app, "_BALANCER_NOTICE", timedelta())
+    monkeypatch.setattr(entry_app, "_LOAD_BALANCER_DELAY", timedelta())
     monkeypatch.setattr(entry_app, "HttpLog", lambda _: log)
     monkeypatch.setattr(entry_app, "HttpVmList", lambda _: _FixedList(vms))
     by_url = {_url(service): upstream for service, upstream in upstreams.items()}
--- a/tests/entry/test_member_notices.py
+++ b/tests/entry/test_member_notices.py
@@ -29,7 +29,7 @@
 
 def test_notice_of_a_small_service_lists_all_ids() -> None:
     """A missing id breaks the order in which side processes take turns without overlap."""
-    [(peer, notice)] = MemberNotices(make_membership(6)).due(["sampler-00002"])
+    [(peer, notice)] = MemberNotices(make_membership(6)).take_changed(["sampler-00002"])
     assert peer == "sampler-00002"
     assert notice.ids == tuple(f"sampler-{n:05}" for n in range(6))
     assert notice.count == 6
@@ -42,7 +42,7 @@
     With the ids of 7,300 upstreams it took 100 KB, and went to each of 28 side processes at each
     change of the list.
     """
-    [(_, notice)] = MemberNotices(make_membership(count)).due(["sampler-00002"])
+    [(_, notice)] = MemberNotices(make_membership(count)).take_changed(["sampler-00002"])
     assert (notice.ids, notice.count) == ((), count)
     assert sum(map(len, encode([notice]))) < 64
 
@@ -54,9 +54,9 @@
     connection may have been restarted, so it gets the notice again.
     """
     notices = MemberNotices(make_membership(6))
-    assert len(notices.due(["sampler-00001", "sampler-00002"])) == 2
-    assert notices.due(["sampler-00001", "sampler-00002"]) == []
+    assert len(notices.take_changed(["sampler-00001", "sampler-00002"])) == 2
+    assert notices.take_changed(["sampler-00001", "sampler-00002"]) == []
     notices.forget("sampler-00001")
-    assert [peer for peer, _ in notices.due(["sampler-00001", "sampler-00002"])] == [
+    assert [peer for peer, _ in notices.take_changed(["sampler-00001", "sampler-00002"])] == [
         "sampler-00001"
     ]
--- a/tests/entry/test_mesh.py
+++ b/tests/entry/test_mesh.py
@@ -9,7 +9,7 @@
 import pytest
 import zmq
 
-from cranberryline.entry.dialing import Dialing
+from cranberryline.entry.dialing import DialContext
 from cranberryline.entry.mesh import EntryMesh, MeshEvents, PeerReply
 from cranberryline.helpers.clock import SystemClock
 from cranberryline.ports.model import VmEntry, VmRole, VmState
@@ -54,7 +54,7 @@
 def _mesh(ctx: zmq.Context, vm_id: str, clock: SystemClock) -> EntryMesh:
     ids = itertools.count(1)
     hello = Hello(vm_id, f"life-{vm_id}", "entry", "levis", 0)
-    return EntryMesh(Dialing(ctx, clock, vm_id, lambda: hello, lambda: next(ids)), _Events())
+    return EntryMesh(DialContext(ctx, clock, vm_id, lambda: hello, lambda: next(ids)), _Events())
 
 
 def test_forwarded_request_gets_the_response_of_the_owner(ctx: zmq.Context) -> None:
--- a/tests/entry/test_stop.py
+++ b/tests/entry/test_stop.py
@@ -86,7 +86,7 @@
     Between the read from the socket and the dispatcher a request is counted nowhere: the stop sees no
     work and closes. The caller cannot tell whether the request was run.
     """
-    monkeypatch.setattr(entry_app, "_ARRIVAL", timedelta())
+    monkeypatch.setattr(entry_app, "_LAST_REQUEST_DELAY", timedelta())
     taken: list[str] = []
     prepare = ServiceHandler.prepare
 
