--- a/cranberryline/gateway/__init__.py
+++ b/cranberryline/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway process: an entry whose shared state lives in the platform's store."""
+"""The gateway process, an entry that keeps its shared state in the platform's store."""
--- a/cranberryline/gateway/holds.py
+++ b/cranberryline/gateway/holds.py
@@ -1,4 +1,4 @@
-"""The quarantine of a gateway: put together over its store and upstreams, shown to operators, released by them."""
+"""Quarantine of a gateway: its construction, and the HTTP handler that operators use."""
 
 from collections.abc import Callable, Collection
 from datetime import timedelta
@@ -19,13 +19,16 @@
 __all__ = ["PATH_HOLDS", "HoldsHandler", "QuarantineParts", "make_quarantine"]
 
 PATH_HOLDS = r"/holds(?:/([0-9a-f]{32}))?"
-# A machine that answers at all does so within a round trip.
-_LOOK_TIMEOUT = timedelta(milliseconds=300)
+# A machine that responds at all accepts or refuses a connection within one round trip.
+_PROBE_TIMEOUT = timedelta(milliseconds=300)
 
 
 @attrs.frozen
 class QuarantineParts:
-    """What a gateway's quarantine works with."""
+    """Dependencies of a gateway's quarantine.
+
+    `node` is the id of this gateway's VM; `live` returns the ids of the live gateways.
+    """
 
     node: str
     platform: PlatformPort
@@ -38,15 +41,17 @@
 
 
 def make_quarantine(parts: QuarantineParts) -> tuple[Quarantine, KeyedTail]:
-    """Return a quarantine and the tail of its topic."""
+    """Return a quarantine, and the tail that feeds it the records of its topic."""
 
     def in_use(upstream: str) -> bool:
-        row = parts.directory.get(upstream)
-        return row is not None and not row.draining
+        registration = parts.directory.get(upstream)
+        return registration is not None and not registration.draining
 
-    async def async_ended(upstream: str) -> bool:
-        row = parts.directory.get(upstream)
-        return row is not None and await async_refuses(row.address, _LOOK_TIMEOUT)
+    async def async_refuses_connections(upstream: str) -> bool:
+        registration = parts.directory.get(upstream)
+        return registration is not None and await async_refuses(
+            registration.address, _PROBE_TIMEOUT
+        )
 
     topic = parts.platform.topic_quarantine
     quarantine = Quarantine(
@@ -58,7 +63,7 @@
         parts.node,
         parts.live,
         in_use,
-        async_ended,
+        async_refuses_connections,
         lambda: tail.offset if tail.loaded.is_set() else None,
     )
     tail = KeyedTail(parts.store, topic, parts.clock, parts.health, quarantine.apply_record)
@@ -66,52 +71,60 @@
 
 
 class HoldsHandler(ProblemHandler):
-    """Tell which requests are suspected and held, and release one."""
+    """List suspected and held requests, and release a request.
+
+    A request is suspected once an upstream has crashed while running it, and held once enough
+    upstreams have. Requests are addressed by fingerprint.
+    """
 
     def initialize(self, quarantine: Quarantine) -> None:
-        """Take the quarantine."""
+        """Set the quarantine; called by tornado for each request."""
         self._quarantine = quarantine
 
     def get(self, request: str | None) -> None:
-        """Answer with all, or with one."""
-        rows = [
+        """Respond with all suspected requests, or with one; 404 if that one is unknown."""
+        suspected = [
             row
             for row in self._quarantine.suspected_requests()
             if request in (None, row.fingerprint)
         ]
-        if request is not None and not rows:
-            self._unknown()
+        if request is not None and not suspected:
+            self._write_unknown_request()
             return
-        self.finish({"requests": [_row(row) for row in rows]})
+        self.finish({"requests": [_as_dict(row) for row in suspected]})
 
     async def delete(self, request: str | None) -> None:
-        """Release a request at every gateway; 503 while the store does not have it."""
+        """Release a request at all gateways.
+
+        Responds 503 if the store did not confirm the release, and 404 if the request is unknown.
+        """
         released = None if request is None else await self._quarantine.async_release(request)
         if released is None:
-            self._unknown()
+            self._write_unknown_request()
         elif not released:
-            title = "released at this gateway; the others hear of it when the store is back"
+            title = "released at this gateway; the others follow when the store is available again"
             status = HTTPStatus.SERVICE_UNAVAILABLE
             write_problem(self, status, "store_unavailable", title, ran="unknown")
         else:
             self.finish({"released": True})
 
-    def _unknown(self) -> None:
+    def _write_unknown_request(self) -> None:
         title = "no upstream is known to have crashed under this request"
         write_problem(self, HTTPStatus.NOT_FOUND, "unknown_request", title)
 
 
-def _row(row: SuspectedRequest) -> dict[str, object]:
-    trial_in = None if row.trial_in is None else in_milliseconds(row.trial_in)
+def _as_dict(suspected: SuspectedRequest) -> dict[str, object]:
+    """Return the JSON object of a request; `told_by` is the gateway that reported the crash."""
+    trial_in = None if suspected.trial_in is None else in_milliseconds(suspected.trial_in)
     return {
-        "fingerprint": row.fingerprint,
-        "held": row.trial_in is not None,
-        "host": row.record.host,
-        "path": row.record.path,
-        "service": row.record.service,
-        "request_id": row.record.request_id,
-        "told_by": row.record.node,
-        "upstreams": row.upstreams,
-        "trials": row.trials,
+        "fingerprint": suspected.fingerprint,
+        "held": suspected.trial_in is not None,
+        "host": suspected.record.host,
+        "path": suspected.record.path,
+        "service": suspected.record.service,
+        "request_id": suspected.record.request_id,
+        "told_by": suspected.record.node,
+        "upstreams": suspected.upstreams,
+        "trials": suspected.trials,
         "trial_in_ms": trial_in,
     }
--- a/cranberryline/gateway/registrations.py
+++ b/cranberryline/gateway/registrations.py
@@ -1,4 +1,4 @@
-"""What the store says of upstreams: taken into the directory, and shown to who orders engines."""
+"""Read the upstreams' registrations from the store into the directory, and list engine starts."""
 
 from result import Err
 
@@ -14,11 +14,12 @@
 
 
 class Registrations:
-    """Take each record in; what is refused is counted by its reason.
+    """Applies registration records to the directory, and counts rejected ones by reason.
 
-    An entry of a service that no configuration names is held until one does: it may be of an upstream that is
-    there before its routes, or of another writer. Passed on meanwhile, the start and the drain that it
-    tells of would stand above the upstream's own for good.
+    A registration whose service is not in the configuration is pending until it is: the upstream
+    may be registered before its routes are configured, or another writer may have written the
+    entry. In the second case, if the directory applied the entry, its start time and its drain
+    would take precedence over those of the real upstream permanently.
     """
 
     def __init__(
@@ -28,52 +29,66 @@
         self._directory = directory
         self._routes = routes
         self._metrics = metrics
-        self._held: dict[str, Registration] = {}
-        routes.listen(self._on_table)
+        self._pending: dict[str, Registration] = {}
+        routes.listen(self._apply_pending)
 
     def take(self, record: KeyedRecord) -> None:
-        """Take a record; one that names no upstream takes its key out of use, and nothing else."""
-        self._held.pop(record.key, None)
+        """Apply a record; an empty one removes the registration of its key.
+
+        An unreadable record also removes it, but has no other effect.
+        """
+        self._pending.pop(record.key, None)
         if not record.value:
             self._directory.remove(record.key)
             return
-        row = self._platform.read_registration(record)
-        if isinstance(row, Err):
-            self._refuse(record.key, row.unwrap_err())
+        read = self._platform.read_registration(record)
+        if isinstance(read, Err):
+            self._reject(record.key, read.unwrap_err())
             return
-        self._put(row.unwrap())
+        self._apply(read.unwrap())
 
     def engines(self) -> dict[str, list[EngineStart]]:
-        """Return the starts of engines that take orders, by service."""
+        """Return the starts of engines that serve models and are not draining, by service."""
         return {
-            service: [EngineStart(row.key, self._versions(row), row.id) for row in rows]
-            for service, rows in self._directory.engines().items()
+            service: [
+                EngineStart(registration.key, self._known_versions(registration), registration.id)
+                for registration in registrations
+            ]
+            for service, registrations in self._directory.engines().items()
         }
 
-    def _put(self, row: Registration) -> None:
+    def _apply(self, registration: Registration) -> None:
         table = self._routes.table
-        if table is None or not table.names_service(row.service):
-            self._held[row.id] = row
+        if table is None or not table.names_service(registration.service):
+            self._pending[registration.id] = registration
             if table is not None:
-                self._refuse(row.id, RegistrationProblem.UNKNOWN_SERVICE)
+                self._reject(registration.id, RegistrationProblem.UNKNOWN_SERVICE)
             return
-        put = self._directory.put(row)
-        if isinstance(put, Err):
-            self._count(put.unwrap_err())
+        applied = self._directory.put(registration)
+        if isinstance(applied, Err):
+            self._count_rejection(applied.unwrap_err())
 
-    def _on_table(self, table: RouteTable) -> None:
-        named = [row for row in self._held.values() if table.names_service(row.service)]
-        for row in named:
-            del self._held[row.id]
-            self._put(row)
+    def _apply_pending(self, table: RouteTable) -> None:
+        """Apply the pending registrations whose service is in the new configuration."""
+        known = [
+            registration
+            for registration in self._pending.values()
+            if table.names_service(registration.service)
+        ]
+        for registration in known:
+            del self._pending[registration.id]
+            self._apply(registration)
 
-    def _refuse(self, upstream_id: str, problem: RegistrationProblem) -> None:
+    def _reject(self, upstream_id: str, problem: RegistrationProblem) -> None:
         self._directory.reject(upstream_id, problem)
-        self._count(problem)
+        self._count_rejection(problem)
 
-    def _count(self, problem: RegistrationProblem) -> None:
+    def _count_rejection(self, problem: RegistrationProblem) -> None:
         self._metrics.drop(f"registration_{problem.value}")
 
-    def _versions(self, row: Registration) -> dict[str, int]:
-        known = {model: self._directory.version(row.key, model) for model in row.versions}
+    def _known_versions(self, registration: Registration) -> dict[str, int]:
+        known = {
+            model: self._directory.version(registration.key, model)
+            for model in registration.versions
+        }
         return {model: version for model, version in known.items() if version is not None}
--- a/cranberryline/gateway/relay.py
+++ b/cranberryline/gateway/relay.py
@@ -1,4 +1,4 @@
-"""Reach the store through another gateway when it does not answer this one."""
+"""Relay store calls through another gateway while the store does not answer this one."""
 
 import asyncio
 import random
@@ -35,33 +35,35 @@
 
 _LOGGER = get_logger(__name__)
 _T = TypeVar("_T")
-_Where = tuple[str, int]
+_Partition = tuple[str, int]
 
 PATH_RELAY = "/relay"
 
-# The store is asked directly again this often while it does not answer this node, and has this long to
-# answer: one that is there answers in milliseconds, and a longer probe into a silent store is still out
+# While the store does not answer this node, it is probed at this interval, with this timeout. A
+# reachable store answers in milliseconds. A longer probe of a silent store would still be pending
 # when the store is back.
 _PROBE_INTERVAL = timedelta(milliseconds=400)
-_PROBE_TIME = timedelta(milliseconds=600)
-# A partition that has not been read for this long is followed by nobody here.
-_UNREAD_AFTER = timedelta(seconds=2)
+_PROBE_TIMEOUT = timedelta(milliseconds=600)
+# A partition that has not been read for this long has no reader on this node.
+_UNREAD_THRESHOLD = timedelta(seconds=2)
 _MAX_PEERS_ASKED = 2
-_LINK_TIME = timedelta(milliseconds=100)
-# A peer that lost power does not answer; one that lives accepts within milliseconds. Waited for like any
-# other server, a dead peer took up the whole time of a caller, who left without an answer.
-_PEER_CONNECT = timedelta(milliseconds=200)
-_ANSWERED = (StoreProblem.CONFLICT, StoreProblem.GONE)
+# Added to the timeout that the peer applies to the store call, for the network in between.
+_PEER_MARGIN = timedelta(milliseconds=100)
+# A running peer accepts within milliseconds, one that lost power not at all. With the connect
+# timeout of other servers, a dead peer used up a caller's whole timeout, and the caller left
+# without an answer.
+_PEER_CONNECT_TIMEOUT = timedelta(milliseconds=200)
+# Definite answers of the store; a call through a peer would have the same result.
+_FINAL_PROBLEMS = (StoreProblem.CONFLICT, StoreProblem.GONE)
 
-
-_STOPPING = RelayAnswer(StoreProblem.REFUSED.value, "peer is stopping")
+_STOPPING_ANSWER = RelayAnswer(StoreProblem.REFUSED.value, "peer is stopping")
 
 
 class RelayedLog(SharedLog):
-    """Call the store directly, and through a peer while that fails.
+    """Calls the store directly, and through a peer while direct calls fail.
 
-    A store that turns this VM away or is cut off from it still serves others. Without this the
-    node can take no job, list no result and renew no lease for as long as that lasts.
+    A store that rejects this VM, or that this VM cannot reach, may still serve other VMs. Without
+    relaying, the node could not accept jobs, list results or renew leases during that time.
     """
 
     def __init__(
@@ -75,21 +77,21 @@
         self._peers = peers
         self._clock = clock
         self._metrics = metrics
-        self._probe_at: dict[_Where, timedelta] = {}
-        self._read_at: dict[_Where, timedelta] = {}
-        self._ends: dict[_Where, int] = {}
-        self._good_peer = ""
-        self._answered_at: timedelta | None = None
-        self._reads_for_peers: set[asyncio.Task[RelayAnswer]] = set()
-        self._ending = False
+        self._next_probe_at: dict[_Partition, timedelta] = {}
+        self._last_read_at: dict[_Partition, timedelta] = {}
+        self._known_ends: dict[_Partition, int] = {}
+        self._preferred_peer = ""
+        self._last_answer_at: timedelta | None = None
+        self._peer_reads: set[asyncio.Task[RelayAnswer]] = set()
+        self._reads_rejected = False
 
     def direct_lost(self, topic: str, part: int) -> bool:
-        """Tell whether the store does not answer this node itself about a partition.
+        """Return whether direct calls about a partition currently fail.
 
-        A store may be out for some partitions only; taken as lost for all, calls about the others
-        would go to peers who are no better off.
+        This is tracked by partition: if only some are unavailable, calls about the others must not
+        be relayed to peers, which are in the same situation.
         """
-        return (topic, part) in self._probe_at
+        return (topic, part) in self._next_probe_at
 
     async def async_append(
         self,
@@ -99,7 +101,7 @@
         timeout: timedelta,
         at: int | None = None,
     ) -> Result[Appended, StoreError]:
-        """Append; only what was surely not done is tried again through a peer."""
+        """Append; relayed to a peer only if a direct append certainly did not take effect."""
         began = self._clock.monotonic()
         await self._async_probe_unread((topic, part), timeout)
         timeout -= self._clock.monotonic() - began
@@ -112,28 +114,28 @@
             repeatable=False,
         )
         if isinstance(appended, Ok):
-            self._ends[topic, part] = appended.unwrap().end
+            self._known_ends[topic, part] = appended.unwrap().end
         return appended
 
-    async def _async_probe_unread(self, where: _Where, timeout: timedelta) -> None:
-        """Look by a read whether a partition that only appends go to is there again; reads of others tell by themselves."""
+    async def _async_probe_unread(self, partition: _Partition, timeout: timedelta) -> None:
+        """Probe a partition that is only appended to; others are probed by their own reads."""
         now = self._clock.monotonic()
-        probe_at, read_at = self._probe_at.get(where), self._read_at.get(where)
+        probe_at, read_at = self._next_probe_at.get(partition), self._last_read_at.get(partition)
         if probe_at is None or now < probe_at:
             return
-        if read_at is not None and now - read_at < _UNREAD_AFTER:
+        if read_at is not None and now - read_at < _UNREAD_THRESHOLD:
             return
-        self._probe_at[where] = now + _PROBE_INTERVAL
-        end, allowed = self._ends.get(where, 0), min(_PROBE_TIME, timeout)
-        probed = await self.direct.async_read(*where, end, timedelta(), allowed)
-        if isinstance(probed, Ok) or probed.unwrap_err().problem in _ANSWERED:
-            self._note_direct(where, True, "")
+        self._next_probe_at[partition] = now + _PROBE_INTERVAL
+        end, call_timeout = self._known_ends.get(partition, 0), min(_PROBE_TIMEOUT, timeout)
+        probed = await self.direct.async_read(*partition, end, timedelta(), call_timeout)
+        if isinstance(probed, Ok) or probed.unwrap_err().problem in _FINAL_PROBLEMS:
+            self._record_direct_call(partition, True, "")
 
     async def async_read(
         self, topic: str, part: int, start: int, wait: timedelta, timeout: timedelta
     ) -> Result[LogRead, StoreError]:
-        """Read."""
-        self._read_at[topic, part] = self._clock.monotonic()
+        """Read records; relayed to a peer if the direct read fails."""
+        self._last_read_at[topic, part] = self._clock.monotonic()
         call = RelayRead(topic, part, start, in_milliseconds(wait), in_milliseconds(timeout))
         return await self._async_call(
             lambda left, probing: self._async_read(topic, part, start, wait, left, probing),
@@ -152,7 +154,7 @@
         timeout: timedelta,
         probing: bool,
     ) -> Result[LogRead, StoreError]:
-        """Read; a probe that waits for a record would tell of the store's return only with the record."""
+        """Read directly; a probe does not wait for records, so it detects the store at once."""
         if not probing:
             return await self.direct.async_read(topic, part, start, wait, timeout)
         read = await self.direct.async_read(topic, part, start, timedelta(), timeout)
@@ -161,7 +163,7 @@
     async def async_newest(
         self, topic: str, timeout: timedelta
     ) -> Result[KeyedSnapshot, StoreError]:
-        """Read the newest record of each key."""
+        """Read the newest record of each key; relayed to a peer if the direct read fails."""
         return await self._async_call(
             lambda left, _probing: self.direct.async_newest(topic, left),
             RelayNewest(topic, in_milliseconds(timeout)),
@@ -173,187 +175,192 @@
         )
 
     async def async_serve(self, call: RelayAppend | RelayRead | RelayNewest) -> RelayAnswer:
-        """Make a peer's call, directly and once; a failure tells how long the store has been silent here."""
+        """Make a peer's call to the store directly, without relaying it or retrying it.
+
+        If it fails, the answer has the time for which the store has not answered this node.
+        """
         if isinstance(call, RelayAppend):
-            return await self._async_serve(call)
-        if self._ending:
-            return _STOPPING
-        work = asyncio.ensure_future(self._async_serve(call))
-        self._reads_for_peers.add(work)
+            return await self._async_answer(call)
+        if self._reads_rejected:
+            return _STOPPING_ANSWER
+        task = asyncio.ensure_future(self._async_answer(call))
+        self._peer_reads.add(task)
         try:
-            return await work
+            return await task
         except asyncio.CancelledError:
-            if not self._ending:
+            if not self._reads_rejected:
                 raise
-            return _STOPPING
+            return _STOPPING_ANSWER
         finally:
-            self._reads_for_peers.discard(work)
+            self._peer_reads.discard(task)
 
     def end_reads(self) -> None:
-        """Answer the peers that wait here for records, now and from now on: they ask elsewhere.
+        """Reject the reads of peers from now on, including pending ones; peers read elsewhere.
 
-        They wait as long as they like, and would hold a stop to its bound; their appends must be waited for.
+        Their reads may wait for records for any time, which would delay a shutdown up to its
+        timeout. Their appends are not cancelled.
         """
-        self._ending = True
-        for work in self._reads_for_peers:
-            work.cancel()
-
-    async def _async_serve(self, call: RelayAppend | RelayRead | RelayNewest) -> RelayAnswer:
-        answer = RelayAnswer(StoreProblem.REFUSED.value, "peer has no store either")
-        if not self.direct_lost(*_where(call)):
-            answer = await _async_make(self.direct, call)
-        if not answer.problem or StoreProblem(answer.problem) in _ANSWERED:
-            self._answered_at = self._clock.elapsed()
+        self._reads_rejected = True
+        for task in self._peer_reads:
+            task.cancel()
+
+    async def _async_answer(self, call: RelayAppend | RelayRead | RelayNewest) -> RelayAnswer:
+        answer = RelayAnswer(StoreProblem.REFUSED.value, "peer cannot reach the store either")
+        if not self.direct_lost(*_partition_of(call)):
+            answer = await _async_execute(self.direct, call)
+        if not answer.problem or StoreProblem(answer.problem) in _FINAL_PROBLEMS:
+            self._last_answer_at = self._clock.elapsed()
             return answer
-        if self._answered_at is None:
+        if self._last_answer_at is None:
             return answer
-        silent = in_milliseconds(self._clock.elapsed() - self._answered_at)
-        return msgspec.structs.replace(answer, silent_ms=silent)
+        silent_for = in_milliseconds(self._clock.elapsed() - self._last_answer_at)
+        return msgspec.structs.replace(answer, silent_ms=silent_for)
 
     async def async_trim(
         self, topic: str, part: int, before: int, timeout: timedelta
     ) -> Result[None, StoreError]:
-        """Trim, directly or not at all: what is not deleted now is deleted with the next trim."""
+        """Trim, never through a peer; the next trim deletes what this one did not."""
         return await self.direct.async_trim(topic, part, before, timeout)
 
     def pack_keyed(self, key: str, value: bytes) -> bytes:
-        """Return the record that sets a key."""
+        """Return the record that sets a key of a keyed topic."""
         return self.direct.pack_keyed(key, value)
 
     def unpack_keyed(self, record: bytes) -> KeyedRecord | None:
-        """Read a record of a topic of keys."""
+        """Return the key and value of a record of a keyed topic, or None if it has none."""
         return self.direct.unpack_keyed(record)
 
     async def _async_call(
         self,
         direct: Callable[[timedelta, bool], Awaitable[Result[_T, StoreError]]],
         call: "RelayAppend | RelayRead | RelayNewest",
-        make: Callable[[RelayAnswer], _T],
+        make_result: Callable[[RelayAnswer], _T],
         timeout: timedelta,
         repeatable: bool,
     ) -> Result[_T, StoreError]:
-        error = StoreError(StoreProblem.REFUSED, "store not asked")
+        error = StoreError(StoreProblem.REFUSED, "store was not called")
         now = self._clock.monotonic()
-        where = _where(call)
-        probe_at = self._probe_at.get(where)
-        # Only reads probe, and every partition is read all the time: an append into a silent store would
-        # leave its caller in doubt where a peer, or a plain refusal, is sure.
-        if probe_at is None or (repeatable and now >= probe_at):
-            if probe_at is not None:
-                self._probe_at[where] = now + _PROBE_INTERVAL
-            allowed = timeout if probe_at is None else min(timeout, _PROBE_TIME)
-            taken = await direct(allowed, probe_at is not None)
-            if isinstance(taken, Ok) or taken.unwrap_err().problem in _ANSWERED:
-                self._answered_at = self._clock.elapsed()
-                self._note_direct(where, True, "")
-                return taken
-            error = taken.unwrap_err()
-            self._note_direct(where, False, error.detail)
+        partition = _partition_of(call)
+        next_probe_at = self._next_probe_at.get(partition)
+        # Only reads probe, and each partition is read all the time. The outcome of an append to a
+        # silent store would be unknown; through a peer, or rejected at once, it is certain.
+        if next_probe_at is None or (repeatable and now >= next_probe_at):
+            if next_probe_at is not None:
+                self._next_probe_at[partition] = now + _PROBE_INTERVAL
+            call_timeout = timeout if next_probe_at is None else min(timeout, _PROBE_TIMEOUT)
+            outcome = await direct(call_timeout, next_probe_at is not None)
+            if isinstance(outcome, Ok) or outcome.unwrap_err().problem in _FINAL_PROBLEMS:
+                self._last_answer_at = self._clock.elapsed()
+                self._record_direct_call(partition, True, "")
+                return outcome
+            error = outcome.unwrap_err()
+            self._record_direct_call(partition, False, error.detail)
             if error.problem is StoreProblem.UNKNOWN and not repeatable:
-                return taken
-        return await self._async_relay(call, make, timeout, repeatable, error)
+                return outcome
+        return await self._async_relay(call, make_result, timeout, repeatable, error)
 
     async def _async_relay(
         self,
         call: "RelayAppend | RelayRead | RelayNewest",
-        make: Callable[[RelayAnswer], _T],
+        make_result: Callable[[RelayAnswer], _T],
         timeout: timedelta,
         repeatable: bool,
         error: StoreError,
     ) -> Result[_T, StoreError]:
-        give_up = self._clock.monotonic() + timeout
+        give_up_at = self._clock.monotonic() + timeout
         peers = self._peers()
         peer_answered_at: timedelta | None = None
         random.shuffle(peers)
-        if self._good_peer in peers:
-            peers.remove(self._good_peer)
-            peers.insert(0, self._good_peer)
+        if self._preferred_peer in peers:
+            peers.remove(self._preferred_peer)
+            peers.insert(0, self._preferred_peer)
         for peer in peers[:_MAX_PEERS_ASKED]:
-            left = give_up - self._clock.monotonic()
-            if left <= timedelta():
+            remaining = give_up_at - self._clock.monotonic()
+            if remaining <= timedelta():
                 break
-            asked = await self._async_ask(peer, call, left)
-            if isinstance(asked, Err):
-                error = asked.unwrap_err()
+            relayed_call = await self._async_ask(peer, call, remaining)
+            if isinstance(relayed_call, Err):
+                error = relayed_call.unwrap_err()
                 if error.problem is StoreProblem.UNKNOWN and not repeatable:
                     return Err(error)
                 continue
-            answer = asked.unwrap()
+            answer = relayed_call.unwrap()
             if not answer.problem:
-                self._good_peer = peer
+                self._preferred_peer = peer
                 self._metrics.relayed.labels("answered").inc()
-                return Ok(make(answer))
-            error = StoreError(_problem_of(answer), answer.detail, answer.first)
-            if error.problem in _ANSWERED:
-                self._good_peer = peer
+                return Ok(make_result(answer))
+            error = StoreError(_reported_problem(answer), answer.detail, answer.first)
+            if error.problem in _FINAL_PROBLEMS:
+                self._preferred_peer = peer
                 return Err(error)
             if answer.silent_ms >= 0:
-                silent = timedelta(milliseconds=answer.silent_ms)
-                answered_at = self._clock.elapsed() - silent
+                silent_for = timedelta(milliseconds=answer.silent_ms)
+                answered_at = self._clock.elapsed() - silent_for
                 peer_answered_at = max(peer_answered_at or answered_at, answered_at)
             if error.problem is StoreProblem.UNKNOWN and not repeatable:
                 return Err(error)
-        self._good_peer = ""
+        self._preferred_peer = ""
         self._metrics.relayed.labels("failed").inc()
         return Err(attrs.evolve(error, out_since=self._out_since(peer_answered_at)))
 
     def _out_since(self, peer_answered_at: timedelta | None) -> timedelta | None:
-        """Return since when the store has answered neither this node nor a peer, None if not known.
+        """Return since when the store answered neither this node nor a peer, or None if unknown.
 
-        Every node writes a sign of life a second, so a store that only turns reads away, or is slow with
-        them, answers some call in between: then it may have taken records that nobody could read.
+        Each node appends a heartbeat every second. So a store that only rejects reads, or is slow
+        to answer them, still answers other calls, and may have accepted records that nobody read.
         """
-        if peer_answered_at is None or self._answered_at is None:
+        if peer_answered_at is None or self._last_answer_at is None:
             return None
-        return max(peer_answered_at, self._answered_at)
+        return max(peer_answered_at, self._last_answer_at)
 
     async def _async_ask(
         self, peer: str, call: "RelayAppend | RelayRead | RelayNewest", timeout: timedelta
     ) -> Result[RelayAnswer, StoreError]:
         req = UpstreamRequest("POST", PATH_RELAY, (), msgspec.msgpack.encode(call))
-        sent = await async_exchange(
-            HttpOrigin(f"http://{peer}"), req, timeout + _LINK_TIME, connect=_PEER_CONNECT
+        response = await async_exchange(
+            HttpOrigin(f"http://{peer}"), req, timeout + _PEER_MARGIN, connect=_PEER_CONNECT_TIMEOUT
         )
-        if isinstance(sent, Err):
-            lost = sent.unwrap_err()
-            return Err(StoreError(problem_of_call(lost), f"peer {peer}: {lost.detail}"))
+        if isinstance(response, Err):
+            failure = response.unwrap_err()
+            return Err(StoreError(problem_of_call(failure), f"peer {peer}: {failure.detail}"))
         try:
-            data = await sent.unwrap().async_whole()
+            data = await response.unwrap().async_whole()
         except UpstreamCut as exc:
             return Err(StoreError(StoreProblem.UNKNOWN, f"peer {peer}: {exc}"))
         read = decode_msgpack(data, ANSWERS)
-        return read.map_err(lambda why: StoreError(StoreProblem.UNKNOWN, f"peer {peer}: {why}"))
+        return read.map_err(lambda exc: StoreError(StoreProblem.UNKNOWN, f"peer {peer}: {exc}"))
 
-    def _note_direct(self, where: _Where, good: bool, detail: str) -> None:
-        if good and where in self._probe_at:
-            del self._probe_at[where]
-            if not self._probe_at:
+    def _record_direct_call(self, partition: _Partition, works: bool, detail: str) -> None:
+        if works and partition in self._next_probe_at:
+            del self._next_probe_at[partition]
+            if not self._next_probe_at:
                 _LOGGER.info("store_direct_regained")
-        elif not good and where not in self._probe_at:
-            if not self._probe_at:
+        elif not works and partition not in self._next_probe_at:
+            if not self._next_probe_at:
                 _LOGGER.warning("store_direct_lost", detail=detail)
-            self._probe_at[where] = self._clock.monotonic() + _PROBE_INTERVAL
+            self._next_probe_at[partition] = self._clock.monotonic() + _PROBE_INTERVAL
 
 
-def _problem_of(answer: RelayAnswer) -> StoreProblem:
-    """Return the problem that a peer tells; one that is not known here leaves everything open."""
+def _reported_problem(answer: RelayAnswer) -> StoreProblem:
+    """Return the problem that a peer reported; UNKNOWN if this version does not know its value."""
     known = answer.problem in StoreProblem.__members__.values()
     return StoreProblem(answer.problem) if known else StoreProblem.UNKNOWN
 
 
-def _where(call: "RelayAppend | RelayRead | RelayNewest") -> _Where:
+def _partition_of(call: "RelayAppend | RelayRead | RelayNewest") -> _Partition:
+    """Return the partition that a call is about; a keyed topic has only partition 0."""
     return (call.topic, 0 if isinstance(call, RelayNewest) else call.part)
 
 
 class RelayHandler(RequestHandler):
-    """Make a peer's call to the store, directly and once."""
+    """Serves the store calls of peers."""
 
     def initialize(self, log: RelayedLog) -> None:
-        """Take the store."""
+        """Set the store to call; called by tornado for each request."""
         self._store = log
 
     async def post(self) -> None:
-        """Make the call and answer with what it brought."""
+        """Make the call and respond with its result, or with 400 if the body is not a call."""
         match decode_msgpack(self.request.body, CALLS):
             case Err():
                 self.set_status(400)
@@ -365,27 +372,29 @@
         self.finish(msgspec.msgpack.encode(answer))
 
 
-async def _async_make(log: SharedLog, call: RelayAppend | RelayRead | RelayNewest) -> RelayAnswer:
+async def _async_execute(
+    log: SharedLog, call: RelayAppend | RelayRead | RelayNewest
+) -> RelayAnswer:
     timeout = timedelta(milliseconds=call.timeout_ms)
     if isinstance(call, RelayAppend):
         appended = await log.async_append(call.topic, call.part, call.records, timeout, call.at)
         if isinstance(appended, Ok):
             return RelayAnswer("", "", appended.unwrap().offset, appended.unwrap().end)
-        return _failed(appended.unwrap_err())
+        return _error_answer(appended.unwrap_err())
     if isinstance(call, RelayRead):
         wait = timedelta(milliseconds=call.wait_ms)
         read = await log.async_read(call.topic, call.part, call.start, wait, timeout)
         if isinstance(read, Ok):
             found = read.unwrap()
             return RelayAnswer("", "", found.start, found.end, list(found.records))
-        return _failed(read.unwrap_err())
+        return _error_answer(read.unwrap_err())
     newest = await log.async_newest(call.topic, timeout)
     if isinstance(newest, Ok):
         snapshot = newest.unwrap()
         keys = [(row.key, row.value, row.offset) for row in snapshot.records]
         return RelayAnswer("", "", 0, snapshot.end, [], keys)
-    return _failed(newest.unwrap_err())
+    return _error_answer(newest.unwrap_err())
 
 
-def _failed(error: StoreError) -> RelayAnswer:
+def _error_answer(error: StoreError) -> RelayAnswer:
     return RelayAnswer(error.problem.value, error.detail, error.position)
--- a/cranberryline/gateway/relay_messages.py
+++ b/cranberryline/gateway/relay_messages.py
@@ -1,4 +1,4 @@
-"""What gateways ask each other about the store, and what they answer."""
+"""Messages in which gateways relay store calls to each other, and their answers."""
 
 from typing import Annotated
 
@@ -6,12 +6,12 @@
 
 __all__ = ["ANSWERS", "CALLS", "RelayAnswer", "RelayAppend", "RelayNewest", "RelayRead"]
 
-# A century; a longer time would overflow.
+# 100 years; the largest values that the format permits would overflow a timedelta.
 _MAX_SILENT_MS = 100 * 366 * 86_400_000
 
 
 class RelayAppend(msgspec.Struct, array_like=True, frozen=True, tag="append"):
-    """Ask a peer to append."""
+    """Ask a peer to append records to a partition; see `SharedLog.async_append` for the fields."""
 
     topic: str
     part: int
@@ -21,7 +21,7 @@
 
 
 class RelayRead(msgspec.Struct, array_like=True, frozen=True, tag="read"):
-    """Ask a peer to read."""
+    """Ask a peer to read a partition; see `SharedLog.async_read` for the fields."""
 
     topic: str
     part: int
@@ -31,14 +31,19 @@
 
 
 class RelayNewest(msgspec.Struct, array_like=True, frozen=True, tag="newest"):
-    """Ask a peer for the newest records of a topic."""
+    """Ask a peer for the newest record of each key of a topic."""
 
     topic: str
     timeout_ms: int
 
 
 class RelayAnswer(msgspec.Struct, array_like=True, frozen=True):
-    """What a peer got: numbers and records, or the problem."""
+    """Result of a relayed call.
+
+    `problem` is empty on success, otherwise a value of `StoreProblem`. `first` and `second` are the
+    offset of the first record and the end of the partition. On errors, `first` is the position of
+    the `StoreError`. `keys` has the key, value and offset of each newest record.
+    """
 
     problem: str = ""
     detail: str = ""
@@ -46,7 +51,8 @@
     second: int = 0
     records: list[bytes] = []
     keys: list[tuple[str, bytes, int]] = []
-    # How long the store has answered this peer nothing at all, in milliseconds; -1 if it never did.
+    # Milliseconds since the store last answered any call of this peer; -1 if it never did, or if
+    # the call succeeded.
     silent_ms: Annotated[int, msgspec.Meta(ge=-1, le=_MAX_SILENT_MS)] = -1
 
 
--- a/cranberryline/gateway/reload.py
+++ b/cranberryline/gateway/reload.py
@@ -1,4 +1,4 @@
-"""Read the settings again on SIGHUP, and when the file has changed without a signal."""
+"""Reload the settings on SIGHUP, or when the settings file has changed."""
 
 import asyncio
 import signal
@@ -17,12 +17,15 @@
 
 _LOGGER = get_logger(__name__)
 
-# A platform may change the file without a signal; looking costs one stat call.
-_LOOK_INTERVAL = timedelta(seconds=2)
+# A platform may change the file without sending a signal. A check costs one stat call.
+_CHECK_INTERVAL = timedelta(seconds=2)
 
 
 class SettingsWatch:
-    """Hand over settings that changed and are valid; bad ones are told, and the old ones stay."""
+    """Call `apply` with settings that have changed and are valid.
+
+    The mistakes of invalid settings are logged, and the previous settings stay in effect.
+    """
 
     def __init__(
         self,
@@ -35,12 +38,13 @@
         self._cfg = cfg
         self._apply = apply
         self._clock = clock
-        self._stamp = self._read_stamp()
+        self._file_state = self._read_file_state()
 
     def install(self) -> None:
-        """Listen for SIGHUP, whose default would end the process and cut every caller.
+        """Handle SIGHUP, whose default action would end the process and all its connections.
 
-        The file is read once more: a change since the start read it came with a signal that was not heard.
+        The file is also read again now, since a signal that came between the first read of the
+        file and this call had no effect.
         """
         loop = asyncio.get_running_loop()
 
@@ -51,15 +55,18 @@
         loop.call_soon(self.reload, "start")
 
     async def async_run(self) -> None:
-        """Look at the file until cancelled."""
+        """Check the file for changes until cancelled."""
         while True:
-            await self._clock.async_sleep(_LOOK_INTERVAL)
-            if self._read_stamp() != self._stamp:
+            await self._clock.async_sleep(_CHECK_INTERVAL)
+            if self._read_file_state() != self._file_state:
                 self.reload("file")
 
     def reload(self, cause: str) -> None:
-        """Read the file and take what is valid."""
-        self._stamp = self._read_stamp()
+        """Read the file, and apply its settings if they are valid and have changed.
+
+        `cause` is logged: "signal", "start" or "file".
+        """
+        self._file_state = self._read_file_state()
         loaded = load_settings(self._path, GatewaySettings)
         if isinstance(loaded, Err):
             for mistake in loaded.unwrap_err().mistakes:
@@ -72,7 +79,8 @@
             self._cfg = cfg
             self._apply(cfg)
 
-    def _read_stamp(self) -> tuple[int, int] | None:
+    def _read_file_state(self) -> tuple[int, int] | None:
+        """Return the file's modification time and size, or None if it cannot be read."""
         try:
             stat = Path(self._path).stat()
         except OSError:
--- a/cranberryline/gateway/stop.py
+++ b/cranberryline/gateway/stop.py
@@ -1,4 +1,4 @@
-"""A gateway's planned stop: what was taken is finished, the rest goes elsewhere."""
+"""Planned shutdown of a gateway: finish accepted requests and leave other work to other nodes."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,18 +17,25 @@
 
 _LOGGER = get_logger(__name__)
 
+# How long the load balancer may still send requests after the ready check has begun to fail.
 _BALANCER_NOTICE = timedelta(milliseconds=2300)
-# In this time the first request of a connection arrives that was made just before the port closed.
+# How long the first request of a connection that was opened just before the port closed may take
+# to arrive.
 _ARRIVAL = timedelta(milliseconds=50)
-# Shares of the time that a stop may take, counted after the balancer's notice.
+# Shares of the stop timeout, counted from the end of the load balancer's notice period.
 _FINISH_SHARE = 0.6
 _ITEMS_SHARE = 0.3
-_POLL = timedelta(milliseconds=50)
+_POLL_INTERVAL = timedelta(milliseconds=50)
 
 
 @attrs.frozen
 class StopParts:
-    """What a stop ends: the servers of callers and of peers, and the items that run."""
+    """Parts of a gateway that take part in its shutdown.
+
+    `callers` and `peers` are the HTTP servers for callers and for other gateways. `end_reads` ends
+    the store reads that peers wait for. `items_left` returns whether job items are still running.
+    `on_close` is called just before the remaining connections are closed.
+    """
 
     callers: GracefulServer
     peers: GracefulServer
@@ -39,17 +46,20 @@
 
 
 async def async_stop_gateway(parts: StopParts, timeout: timedelta, clock: Clock) -> StopOutcome:
-    """Let the balancer notice, close the ports, finish what was taken, and close what is left.
+    """Wait for the load balancer, close the ports, finish accepted requests and close the rest.
 
-    Return how it ended, some nine tenths of `timeout` after the call at the latest.
+    Returns the outcome after about 90% of `timeout` at the latest.
     """
-    # Before a silent store the sign would take a second of the time that the platform's kill leaves.
+    # The heartbeat that announces the shutdown is written while waiting. If the store does not
+    # answer, it takes a second, which would be lost from the time until the platform kills the
+    # process.
     await asyncio.gather(parts.nodes.async_write_heartbeat(), clock.async_sleep(_BALANCER_NOTICE))
     servers = (parts.callers, parts.peers)
     for server in servers:
         server.stop()
     await clock.async_sleep(_ARRIVAL)
-    # Not the peers' ones: they use a connection once, so one at rest is about to ask.
+    # Idle connections of peers stay open. Peers use a connection for one request only, so an idle
+    # one is about to receive it.
     _LOGGER.info("connections_at_rest_closed", count=parts.callers.close_at_rest())
     parts.end_reads()
     await _async_finish(parts, timeout, clock)
@@ -67,17 +77,19 @@
 
 
 async def _async_finish(parts: StopParts, timeout: timedelta, clock: Clock) -> None:
-    """Wait for the requests that were taken; items are left to other nodes once callers have theirs.
+    """Wait for accepted requests, and for running job items during the first part of that time.
 
-    An item whose result the store does not take would hold the stop until it is forced, and
-    with it the answers of callers would be cut. A peer's append is waited for like a caller's request:
-    whether one that lost its answer stands can not be told.
+    Items that still run once all requests are answered are left to other nodes after
+    `_ITEMS_SHARE`: an item whose result the store does not accept would otherwise delay the
+    shutdown until the process is killed, which would also cut off callers' responses. A peer's
+    append is waited for like a caller's request, since the peer cannot tell whether an append
+    without an answer took effect.
     """
     began = clock.monotonic()
-    give_up = began + timeout * _FINISH_SHARE
+    give_up_at = began + timeout * _FINISH_SHARE
     items_until = began + timeout * _ITEMS_SHARE
-    while (now := clock.monotonic()) < give_up:
-        taken = parts.callers.open_requests or parts.peers.open_requests
-        if not taken and (now > items_until or not parts.items_left()):
+    while (now := clock.monotonic()) < give_up_at:
+        open_requests = parts.callers.open_requests or parts.peers.open_requests
+        if not open_requests and (now > items_until or not parts.items_left()):
             return
-        await clock.async_sleep(_POLL)
+        await clock.async_sleep(_POLL_INTERVAL)
--- a/cranberryline/gateway/tasks.py
+++ b/cranberryline/gateway/tasks.py
@@ -1,4 +1,4 @@
-"""Small callbacks of the process: for its tasks, its loop and its servers."""
+"""Callbacks for the event loop, background tasks and HTTP servers of the process."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,16 +11,19 @@
 _LOGGER = get_logger(__name__)
 
 
-def run_soon(work: Callable[[], None]) -> None:
-    """Do work once what is being read now has been taken in."""
-    asyncio.get_running_loop().call_soon(work)
+def run_soon(callback: Callable[[], None]) -> None:
+    """Call a callback in the next iteration of the event loop.
+
+    Records that are being applied in the current iteration are then applied in full.
+    """
+    asyncio.get_running_loop().call_soon(callback)
 
 
 def leave_log_to_handlers(_handler: object) -> None:
-    """Log nothing: the handlers log their own requests."""
+    """Log nothing; used as tornado's `log_function`, since handlers log their own requests."""
 
 
 def tell_failure(task: "asyncio.Future[Any]") -> None:
-    """Log that a task ended that should not have."""
+    """Log the exception of a background task, none of which should end by itself."""
     if not task.cancelled() and task.exception() is not None:
         _LOGGER.error("task_failed", error=repr(task.exception()))
--- a/tests/gateway/test_foreign_records.py
+++ b/tests/gateway/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""Signs of life that no gateway wrote, and answers of peers that are none."""
+"""Heartbeat records that no gateway wrote, and invalid answers of peers."""
 
 import asyncio
 from datetime import timedelta
@@ -26,7 +26,7 @@
 
 SIGN = msgspec.msgpack.encode(NodeHeartbeat("x", "levis", "10.0.0.9:7"))
 TIMEOUT = timedelta(milliseconds=300)
-NO_PEERS = [
+INVALID_ADDRESSES = [
     "nowhere",
     "10.0.0.9",
     "10.0.0.9:0",
@@ -36,12 +36,12 @@
     "[:1",
     "é:1",
 ]
-NO_PEERS += ["10.0.0.9:" + "9" * 5000, "10.0.0.9:7/x", "10.0.0.9:7\r\nX: y", "a.example:7"]
+INVALID_ADDRESSES += ["10.0.0.9:" + "9" * 5000, "10.0.0.9:7/x", "10.0.0.9:7\r\nX: y", "a.example:7"]
 
 
 @given(st.lists(foreign(SIGN) | values.map(msgspec.msgpack.encode), max_size=6))
 def test_no_bytes_under_a_nodes_key_raise_and_the_next_sign_is_heard(records: list[bytes]) -> None:
-    """Whatever stands there, nothing but what the node itself wrote is believed."""
+    """Only valid records that the node itself wrote are used, whatever else is under its key."""
 
     async def scene() -> None:
         node = Node(FakeStore(), "a")
@@ -54,13 +54,13 @@
     run_virtual(scene())
 
 
-def test_an_unreadable_sign_leaves_the_nodes_last_one_and_is_counted() -> None:
-    """The node lives on in the eyes of the others, by what it wrote itself."""
+def test_unreadable_heartbeat_keeps_the_previous_one_and_is_counted() -> None:
+    """Another writer overwrites a node's heartbeat: the node stays live by its own last one."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         nodes = await _async_nodes(FakeStore())
-        other = msgspec.msgpack.encode(NodeHeartbeat("c", "levis", "10.6.6.6:7"))
-        for data in (b"\xc1", SIGN[:-3], other, *deep(b"\x95\xa1b\xa1z\xa0\xc2")):
+        other_node = msgspec.msgpack.encode(NodeHeartbeat("c", "levis", "10.6.6.6:7"))
+        for data in (b"\xc1", SIGN[:-3], other_node, *deep(b"\x95\xa1b\xa1z\xa0\xc2")):
             nodes[0].link.put("keyed.nodes", "b", data)
         await asyncio.sleep(0.1)
         assert nodes[0].live() == ["a", "b", "c"]
@@ -68,29 +68,29 @@
         drops = "cranberryline_drops_total"
         assert nodes[0].metrics.value(drops, reason="node_sign_unreadable") == 8
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-@pytest.mark.parametrize("peer", NO_PEERS)
-def test_an_address_that_is_none_is_nobodys_peer(peer: str) -> None:
-    """A sign names an address that cannot be called.
+@pytest.mark.parametrize("peer", INVALID_ADDRESSES)
+def test_heartbeat_with_an_invalid_peer_address_is_ignored(peer: str) -> None:
+    """A heartbeat has a peer address that cannot be called.
 
-    Calls to the store raised when this node's own way there was lost and that peer was asked: every
-    tail ended, just when nothing else was left.
+    When this node's direct connection to the store failed and that peer was called instead, the
+    call raised and ended all tails, at the moment when relaying was the only way left.
     """
 
-    async def scene() -> None:
+    async def scenario() -> None:
         node = Node(FakeStore(), "a")
         node.registry.apply_record(
             KeyedRecord("x", msgspec.msgpack.encode(NodeHeartbeat("x", "levis", peer)))
         )
         assert node.registry.heartbeats() == []
 
-    run_virtual(scene())
+    run_virtual(scenario())
 
 
-class _Saying(RequestHandler):
-    """Answer a peer's call with given bytes."""
+class _FixedAnswerHandler(RequestHandler):
+    """Responds to relayed calls with given bytes."""
 
     def initialize(self, answer: bytes) -> None:
         self._answer = answer
@@ -110,12 +110,12 @@
         b"\x9f" + b"\x91" * 50_000 + b"\x01",
     ],
 )
-def test_a_peers_answer_that_is_none_leaves_everything_open(answer: bytes) -> None:
-    """The store turns this node away, and the peer answers nonsense: the call ends without an answer."""
+def test_invalid_answer_of_a_peer_leaves_the_outcome_unknown(answer: bytes) -> None:
+    """The store rejects this node and the peer's answer is invalid: the append may have run."""
 
-    async def scene() -> Any:
+    async def scenario() -> Any:
         sockets = bind_sockets(0, "127.0.0.1")
-        server = HTTPServer(Application([(PATH_RELAY, _Saying, {"answer": answer})]))
+        server = HTTPServer(Application([(PATH_RELAY, _FixedAnswerHandler, {"answer": answer})]))
         server.add_sockets(sockets)
         address = f"127.0.0.1:{sockets[0].getsockname()[1]}"
         link = StoreLink(FakeStore())
@@ -126,6 +126,6 @@
         server.stop()
         return read, appended
 
-    read, appended = asyncio.run(scene())
+    read, appended = asyncio.run(scenario())
     assert isinstance(read, Err) and not isinstance(read, Ok)
     assert appended.unwrap_err().problem is StoreProblem.UNKNOWN
--- a/tests/gateway/test_links.py
+++ b/tests/gateway/test_links.py
@@ -1,4 +1,4 @@
-"""Ways to upstreams: made, remade and given up with the rows."""
+"""Direct links are created, replaced and removed as registrations change."""
 
 import itertools
 from datetime import timedelta
@@ -16,15 +16,15 @@
 from cranberryline.ports.model import VmEntry
 from cranberryline.upstreams.directory import Directory, Registration
 
-ROW = Registration("i-1", "files", "10.0.0.1:80", "levis", 4, False, {}, 100)
+REGISTRATION = Registration("i-1", "files", "10.0.0.1:80", "levis", 4, False, {}, 100)
 
 
-class Ways:
-    """A directory and the ways that follow it."""
+class DirectLinksHarness:
+    """A directory and the direct links that follow its membership."""
 
     def __init__(self) -> None:
         clock, metrics, self.table = FakeClock(), Metrics(), UpstreamTable()
-        self.made: list[VmEntry] = []
+        self.connected: list[VmEntry] = []
         self.directory = Directory(clock, StoreHealth(clock))
         directs = DirectUpstreams(
             clock,
@@ -41,38 +41,43 @@
         membership.listen(lambda: links.apply(membership))
 
     def _connect(self, row: VmEntry) -> Any:
-        self.made.append(row)
+        self.connected.append(row)
         return SimpleNamespace(connected=lambda: False)
 
 
-def test_each_start_has_a_way_of_its_own_without_marks_of_the_former() -> None:
-    """The former start failed and was left out for it; the new one, at its address, begins unmarked."""
-    ways = Ways()
-    ways.directory.put(ROW)
-    (former,) = ways.table.usable("files")
-    former.reserve(timedelta())
-    former.attempt_failed(timedelta(), timedelta())
-    ways.directory.put(attrs.evolve(ROW, born=200))
-    (again,) = ways.table.usable("files")
-    assert again is not former and again.health == type(again.health)()
-    assert again.link.outstanding == 0 and not former.link.usable
-    assert [row.name for row in ways.made] == ["i-1", "i-1"]
+def test_restarted_upstream_gets_a_new_link_without_earlier_failures() -> None:
+    """The upstream failed, was excluded for that, and restarted at the same address.
 
+    With the link of the earlier start, the new one would inherit its failures.
+    """
+    harness = DirectLinksHarness()
+    harness.directory.put(REGISTRATION)
+    (previous,) = harness.table.usable("files")
+    previous.reserve(timedelta())
+    previous.attempt_failed(timedelta(), timedelta())
+    harness.directory.put(attrs.evolve(REGISTRATION, born=200))
+    (restarted,) = harness.table.usable("files")
+    assert restarted is not previous and restarted.health == type(restarted.health)()
+    assert restarted.link.outstanding == 0 and not previous.link.usable
+    assert [row.name for row in harness.connected] == ["i-1", "i-1"]
 
-def test_a_start_that_tells_another_address_or_service_is_reached_there() -> None:
-    """Its way is made anew; kept as it was, work would go on to where it no longer is."""
-    ways = Ways()
-    ways.directory.put(ROW)
-    ways.directory.put(attrs.evolve(ROW, address="10.0.0.2:80"))
-    ways.directory.put(attrs.evolve(ROW, address="10.0.0.2:80", service="other"))
-    assert [row.address for row in ways.made] == [f"http://10.0.0.{n}:80" for n in (1, 2, 2)]
-    assert ways.table.usable("files") == [] and len(ways.table.usable("other")) == 1
 
+def test_changed_address_or_service_replaces_the_link() -> None:
+    """With the earlier link, requests would still be sent to the old address or service."""
+    harness = DirectLinksHarness()
+    harness.directory.put(REGISTRATION)
+    harness.directory.put(attrs.evolve(REGISTRATION, address="10.0.0.2:80"))
+    harness.directory.put(attrs.evolve(REGISTRATION, address="10.0.0.2:80", service="other"))
+    assert [row.address for row in harness.connected] == [
+        f"http://10.0.0.{n}:80" for n in (1, 2, 2)
+    ]
+    assert harness.table.usable("files") == [] and len(harness.table.usable("other")) == 1
 
-def test_a_beat_makes_no_way_anew() -> None:
-    """What an upstream serves changes with its beats; the way to it stays."""
-    ways = Ways()
-    ways.directory.put(ROW)
-    ways.directory.put(attrs.evolve(ROW, versions={"m": 2}))
-    ways.directory.put(attrs.evolve(ROW, id="i-2"))
-    assert len(ways.made) == 2
+
+def test_heartbeat_with_new_versions_keeps_the_link() -> None:
+    """Served versions change with heartbeats; a new link is created for another upstream only."""
+    harness = DirectLinksHarness()
+    harness.directory.put(REGISTRATION)
+    harness.directory.put(attrs.evolve(REGISTRATION, versions={"m": 2}))
+    harness.directory.put(attrs.evolve(REGISTRATION, id="i-2"))
+    assert len(harness.connected) == 2
--- a/tests/gateway/test_registrations.py
+++ b/tests/gateway/test_registrations.py
@@ -1,4 +1,4 @@
-"""What a gateway counts and logs of entries that name no upstream."""
+"""Invalid registrations in the store: how a gateway counts and logs them."""
 
 from datetime import timedelta
 from typing import Any
@@ -16,36 +16,39 @@
 from cranberryline.upstreams.directory import Directory
 
 
-class _Lines:
-    """Keep the names of warnings."""
+class _RecordingLogger:
+    """Records the event names of warnings."""
 
     def __init__(self) -> None:
         self.warnings: list[str] = []
 
     def warning(self, event: str, **_: Any) -> None:
-        """Keep a warning."""
+        """Record a warning."""
         self.warnings.append(event)
 
     def info(self, event: str, **_: Any) -> None:
-        """Leave what is no warning."""
+        """Ignore an info event."""
 
 
-def test_refused_entries_are_counted_each_and_logged_once_a_burst(
+def test_rejected_registrations_are_all_counted_and_logged_once_per_burst(
     clock: FakeClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Another writer spoils entries for a minute, and again an hour later: two lines, every one counted."""
-    lines, metrics = _Lines(), Metrics()
-    monkeypatch.setattr(directory_module, "_LOGGER", lines)
-    made = Registrations(
+    """Another writer overwrites entries for a minute, and again an hour later.
+
+    Each invalid entry is counted, but only the first one of each burst is logged.
+    """
+    logger, metrics = _RecordingLogger(), Metrics()
+    monkeypatch.setattr(directory_module, "_LOGGER", logger)
+    registrations = Registrations(
         UsersPlatform("127.0.0.1:9"), Directory(clock, StoreHealth(clock)), ActiveRoutes(), metrics
     )
     for _ in range(60):
-        made.take(KeyedRecord("i-1", b"\xff"))
-        made.take(KeyedRecord("i-2", b'{"service":5}'))
+        registrations.take(KeyedRecord("i-1", b"\xff"))
+        registrations.take(KeyedRecord("i-2", b'{"service":5}'))
         clock.advance(timedelta(seconds=1))
     clock.advance(timedelta(hours=1))
-    made.take(KeyedRecord("i-1", b"\xff"))
-    assert lines.warnings == ["registration_refused"] * 2
+    registrations.take(KeyedRecord("i-1", b"\xff"))
+    assert logger.warnings == ["registration_refused"] * 2
     counted = {
         sample.labels["reason"]: sample.value
         for family in metrics.drops.collect()
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -1,4 +1,4 @@
-"""The store through a peer: what is told when either way loses an answer."""
+"""Store calls relayed through a peer, and their outcome when an answer is lost."""
 
 import asyncio
 import socket
@@ -20,7 +20,7 @@
 
 
 class Peer:
-    """A gateway's relay over its own link to the store."""
+    """A gateway that relays calls over its own connection to the store."""
 
     def __init__(self, store: FakeStore) -> None:
         self.link = StoreLink(store)
@@ -39,10 +39,10 @@
     link.refusing = lambda _topic, _part: True
 
 
-def test_every_kind_of_call_goes_through_a_peer() -> None:
-    """The store refuses this node alone: it appends, reads and loads through its peer."""
+def test_append_read_and_newest_are_relayed_through_a_peer() -> None:
+    """The store rejects this node only, and all kinds of calls succeed through its peer."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
         peer, link = Peer(store), StoreLink(store)
         _refuse_all(link)
@@ -55,27 +55,33 @@
         newest = await log.async_newest("keyed.x", TIMEOUT)
         assert [(row.key, row.value) for row in newest.unwrap().records] == [("k", b"v")]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_an_append_that_may_stand_is_not_sent_a_second_way() -> None:
-    """The direct answer is lost: the caller is told so, and the peer is not asked to append too."""
+def test_append_with_unknown_outcome_is_not_repeated_through_a_peer() -> None:
+    """The answer of a direct append is lost, and the caller gets UNKNOWN.
 
-    async def scene() -> None:
+    If the append were repeated through the peer, the log could have the records twice.
+    """
+
+    async def scenario() -> None:
         store = FakeStore()
         peer, link = Peer(store), StoreLink(store)
         link.lost = 1
-        taken = await _log(link, peer.address).async_append("t", 0, [b"a"], TIMEOUT)
-        assert taken.unwrap_err().problem is StoreProblem.UNKNOWN
+        appended = await _log(link, peer.address).async_append("t", 0, [b"a"], TIMEOUT)
+        assert appended.unwrap_err().problem is StoreProblem.UNKNOWN
         assert peer.link.appends == 0 and store.records[("t", 0)] == [b"a"]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_partition_that_only_appends_go_to_is_called_directly_again() -> None:
-    """Nobody reads it, so no read tells that the store is back: lost once, its appends failed for good."""
+def test_append_only_partition_is_called_directly_again_after_an_outage() -> None:
+    """An outage ends while a partition is only appended to.
+
+    Only reads probed the store, so its recovery was not detected and all appends kept failing.
+    """
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
         link = StoreLink(store)
         log = _log(link)
@@ -87,61 +93,61 @@
         assert (await log.async_append("texts", 0, [b"c"], TIMEOUT)).is_ok()
         assert not log.direct_lost("texts", 0)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_an_answer_lost_behind_the_peer_is_unknown_too() -> None:
-    """The store refuses this node, and the peer's answer is lost: it may stand."""
+def test_append_with_an_answer_lost_at_the_peer_is_unknown() -> None:
+    """The store rejects this node and its answer to the peer is lost; the append took effect."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
         peer, link = Peer(store), StoreLink(store)
         _refuse_all(link)
         peer.link.lost = 1
-        taken = await _log(link, peer.address).async_append("t", 0, [b"a"], TIMEOUT)
-        assert taken.unwrap_err().problem is StoreProblem.UNKNOWN
+        appended = await _log(link, peer.address).async_append("t", 0, [b"a"], TIMEOUT)
+        assert appended.unwrap_err().problem is StoreProblem.UNKNOWN
         assert store.records[("t", 0)] == [b"a"]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_condition_that_fails_is_told_from_either_way() -> None:
-    """A conflict is an answer: nobody else is asked."""
+def test_conflict_is_returned_directly_and_through_a_peer() -> None:
+    """A conflict is a definite outcome, so the append is not tried elsewhere."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
         store.append("t", 0, [b"x"])
         peer, link = Peer(store), StoreLink(store)
         for _ in range(2):
-            taken = await _log(link, peer.address).async_append("t", 0, [b"a"], TIMEOUT, at=0)
-            error = taken.unwrap_err()
+            appended = await _log(link, peer.address).async_append("t", 0, [b"a"], TIMEOUT, at=0)
+            error = appended.unwrap_err()
             assert (error.problem, error.position) == (StoreProblem.CONFLICT, 1)
             _refuse_all(link)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("dead", [True, False])
-def test_without_a_peer_that_can_do_it_the_refusal_stands(dead: bool) -> None:
-    """No peer listens, or the store refuses the peer as well: surely not done."""
+def test_append_is_refused_if_no_peer_reaches_the_store(dead: bool) -> None:
+    """No peer listens, or the store rejects the peer too: the append certainly did not run."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
         peer, link = Peer(store), StoreLink(store)
         _refuse_all(link)
         _refuse_all(peer.link)
         address = "127.0.0.1:9" if dead else peer.address
-        taken = await _log(link, address).async_append("t", 0, [b"a"], TIMEOUT)
-        assert taken.unwrap_err().problem is StoreProblem.REFUSED
+        appended = await _log(link, address).async_append("t", 0, [b"a"], TIMEOUT)
+        assert appended.unwrap_err().problem is StoreProblem.REFUSED
         assert store.records[("t", 0)] == []
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_partition_that_is_out_leaves_the_others_direct() -> None:
-    """Calls about sound partitions do not take the way through peers."""
+def test_outage_of_one_partition_does_not_relay_calls_about_others() -> None:
+    """Calls about partitions that are available still go to the store directly."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
         link = StoreLink(store)
         link.refusing = lambda _topic, part: part == 1
@@ -150,64 +156,64 @@
         assert isinstance(await log.async_append("t", 0, [b"a"], TIMEOUT), Ok)
         assert log.direct_lost("t", 1) and not log.direct_lost("t", 0)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_peer_that_does_not_accept_leaves_time_for_another() -> None:
-    """The first peer's VM has no power: its port neither accepts nor refuses.
+def test_unreachable_peer_leaves_time_to_call_another() -> None:
+    """The VM of the first peer lost power: its port neither accepts nor refuses connections.
 
-    The second peer is asked within the call's time, and the caller gets its answer.
+    The second peer must be called, and must answer, within the timeout of the call.
     """
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
         peer, link = Peer(store), StoreLink(store)
         _refuse_all(link)
-        full = socket.socket()
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
-        waiting = [socket.socket() for _ in range(4)]
-        for conn in waiting:
+        unreachable = socket.socket()
+        unreachable.bind(("127.0.0.1", 0))
+        unreachable.listen(0)
+        pending = [socket.socket() for _ in range(4)]
+        for conn in pending:
             conn.setblocking(False)
-            conn.connect_ex(full.getsockname())
-        log = _log(link, f"127.0.0.1:{full.getsockname()[1]}", peer.address)
+            conn.connect_ex(unreachable.getsockname())
+        log = _log(link, f"127.0.0.1:{unreachable.getsockname()[1]}", peer.address)
         for _ in range(6):
-            log._good_peer = f"127.0.0.1:{full.getsockname()[1]}"
+            log._preferred_peer = f"127.0.0.1:{unreachable.getsockname()[1]}"
             began = SystemClock().monotonic()
-            taken = await log.async_append("t", 0, [b"a"], timedelta(milliseconds=700))
-            assert taken.is_ok()
+            appended = await log.async_append("t", 0, [b"a"], timedelta(milliseconds=700))
+            assert appended.is_ok()
             assert SystemClock().monotonic() - began < timedelta(milliseconds=700)
-        for conn in (*waiting, full):
+        for conn in (*pending, unreachable):
             conn.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_no_append_goes_into_a_store_that_is_known_to_be_silent() -> None:
-    """A read went unanswered and there is no peer: the append is refused at once and never done."""
+def test_append_is_not_sent_to_a_store_known_to_be_silent() -> None:
+    """A read timed out and there is no peer: appends are refused at once and never sent."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
         link = StoreLink(store)
         log = _log(link)
         link.silent = True
         assert (await log.async_read("t", 0, 0, timedelta(), TIMEOUT)).is_err()
         for _ in range(3):
-            taken = await log.async_append("t", 0, [b"a"], TIMEOUT)
-            assert taken.unwrap_err().problem is StoreProblem.REFUSED
+            appended = await log.async_append("t", 0, [b"a"], TIMEOUT)
+            assert appended.unwrap_err().problem is StoreProblem.REFUSED
             await asyncio.sleep(0.25)
         assert link.appends == 0
         link.silent = False
         assert (await log.async_read("t", 0, 0, timedelta(), TIMEOUT)).is_ok()
         assert (await log.async_append("t", 0, [b"a"], TIMEOUT)).is_ok()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_the_stores_return_is_seen_though_nothing_comes_to_read() -> None:
-    """A poll on an idle partition probes without waiting for a record."""
+def test_recovered_store_is_detected_without_new_records() -> None:
+    """A long poll of an idle partition probes the store without waiting for a record."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         link = StoreLink(FakeStore())
         log = _log(link)
         _refuse_all(link)
@@ -218,35 +224,39 @@
             assert (await log.async_read("t", 0, 0, timedelta(seconds=5), TIMEOUT)).is_ok()
         assert not log.direct_lost("t", 0)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("peer_there", [True, False])
-@pytest.mark.parametrize("signs", [True, False])
-def test_an_outage_for_all_is_told_from_being_cut_off(peer_there: bool, signs: bool) -> None:
-    """The store is out for all if a peer had no answer from it either, to any call, as long as this node.
+@pytest.mark.parametrize("peer_reachable", [True, False])
+@pytest.mark.parametrize("accepts_heartbeats", [True, False])
+def test_outage_of_the_store_is_distinguished_from_isolation_of_a_node(
+    peer_reachable: bool, accepts_heartbeats: bool
+) -> None:
+    """The store is down for all nodes if it answered neither this node nor a peer, on any call.
 
-    A node that reaches no peer cannot tell, nor one that knows none. Where signs of life are still taken,
-    the store lives: the span in which it answered nobody begins with the last of them.
+    A node that reaches no peer, or knows none, cannot decide this. If heartbeats are still
+    accepted, the store is up; the outage starts no earlier than the last heartbeat.
     """
 
-    async def scene() -> None:
+    async def scenario() -> None:
         store = FakeStore()
         peer, link = Peer(store), StoreLink(store)
-        log = _log(link, peer.address if peer_there else "127.0.0.1:1")
+        log = _log(link, peer.address if peer_reachable else "127.0.0.1:1")
         for node in (log, peer.log):
             await node.async_append("keyed.nodes", 0, [b"sign"], TIMEOUT)
         began = SystemClock().elapsed()
-        link.refusing = peer.link.refusing = lambda topic, _part: not signs or topic == "jobs"
+        link.refusing = peer.link.refusing = (
+            lambda topic, _part: not accepts_heartbeats or topic == "jobs"
+        )
         await asyncio.sleep(0.2)
-        if signs:
+        if accepts_heartbeats:
             await peer.log.async_append("keyed.nodes", 0, [b"sign"], TIMEOUT)
         read = await log.async_read("jobs", 0, 0, timedelta(), TIMEOUT)
         since = read.unwrap_err().out_since
-        assert (since is not None) is peer_there
+        assert (since is not None) is peer_reachable
         if since is not None:
-            assert (since > began + timedelta(seconds=0.1)) is signs
+            assert (since > began + timedelta(seconds=0.1)) is accepts_heartbeats
         unknown = await _log(link).async_read("jobs", 0, 0, timedelta(), TIMEOUT)
         assert unknown.unwrap_err().out_since is None
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings read again: by signal, by a silent change, and bad ones."""
+"""Reload of settings: on a signal, after a change without a signal, and of invalid settings."""
 
 import asyncio
 import os
@@ -25,26 +25,26 @@
 @pytest.fixture
 def file(tmp_path: Path) -> Path:
     """Return a settings file."""
-    made = tmp_path / "settings.yaml"
-    made.write_text(TEXT)
-    return made
+    path = tmp_path / "settings.yaml"
+    path.write_text(TEXT)
+    return path
 
 
-def _watch(file: Path, taken: list[GatewaySettings]) -> SettingsWatch:
+def _watch(file: Path, applied: list[GatewaySettings]) -> SettingsWatch:
     cfg = load_settings(file, GatewaySettings).unwrap()
-    return SettingsWatch(str(file), cfg, taken.append, SystemClock())
+    return SettingsWatch(str(file), cfg, applied.append, SystemClock())
 
 
 def _write(file: Path, more: str) -> None:
     file.write_text(TEXT + more)
 
 
-def test_a_signal_takes_changed_settings(file: Path) -> None:
-    """SIGHUP, whose default ends a process, reads the file again."""
-    taken: list[GatewaySettings] = []
+def test_sighup_applies_changed_settings(file: Path) -> None:
+    """SIGHUP reloads the file; its default action would end the process."""
+    applied: list[GatewaySettings] = []
 
-    async def scene() -> None:
-        watch = _watch(file, taken)
+    async def scenario() -> None:
+        watch = _watch(file, applied)
         before = signal.getsignal(signal.SIGHUP)
         watch.install()
         try:
@@ -54,48 +54,49 @@
         finally:
             signal.signal(signal.SIGHUP, before)
 
-    asyncio.run(scene())
-    assert [(cfg.log_level, cfg.lease.total_seconds()) for cfg in taken] == [("debug", 2.5)]
+    asyncio.run(scenario())
+    assert [(cfg.log_level, cfg.lease.total_seconds()) for cfg in applied] == [("debug", 2.5)]
 
 
-def test_a_silent_change_is_seen(file: Path) -> None:
-    """The file changed without a signal."""
-    taken: list[GatewaySettings] = []
+def test_change_without_a_signal_is_applied(file: Path) -> None:
+    """The file is changed and no signal is sent."""
+    applied: list[GatewaySettings] = []
 
-    async def scene() -> None:
-        task = asyncio.ensure_future(_watch(file, taken).async_run())
+    async def scenario() -> None:
+        task = asyncio.ensure_future(_watch(file, applied).async_run())
         _write(file, "log_level: warning\n")
         await asyncio.sleep(2.2)
         task.cancel()
 
-    asyncio.run(scene())
-    assert [cfg.log_level for cfg in taken] == ["warning"]
+    asyncio.run(scenario())
+    assert [cfg.log_level for cfg in applied] == ["warning"]
 
 
-@pytest.mark.parametrize("bad", ["vm_id: [", "unknown: 1\n" + TEXT, "vm_id: front-1\n", ""])
-def test_bad_settings_leave_the_old_ones_in_force(file: Path, bad: str) -> None:
-    """Nothing is handed over, and the process goes on."""
-    taken: list[GatewaySettings] = []
-    watch = _watch(file, taken)
-    file.write_text(bad)
+@pytest.mark.parametrize("invalid", ["vm_id: [", "unknown: 1\n" + TEXT, "vm_id: front-1\n", ""])
+def test_invalid_settings_leave_the_previous_ones_in_effect(file: Path, invalid: str) -> None:
+    """Invalid settings are not applied, and a later valid file still is."""
+    applied: list[GatewaySettings] = []
+    watch = _watch(file, applied)
+    file.write_text(invalid)
     watch.reload("test")
-    assert taken == []
+    assert applied == []
     file.write_text(TEXT + "log_level: error\n")
     watch.reload("test")
-    assert [cfg.log_level for cfg in taken] == ["error"]
+    assert [cfg.log_level for cfg in applied] == ["error"]
 
 
-def test_settings_that_did_not_change_change_nothing(file: Path) -> None:
-    """A signal without a change hands nothing over."""
-    taken: list[GatewaySettings] = []
-    _watch(file, taken).reload("test")
-    assert taken == []
+def test_unchanged_settings_are_not_applied_again(file: Path) -> None:
+    """A reload of an unchanged file applies nothing."""
+    applied: list[GatewaySettings] = []
+    _watch(file, applied).reload("test")
+    assert applied == []
 
 
-def test_a_signal_in_the_middle_of_the_start_does_not_end_the_process(tmp_path: Path) -> None:
-    """The settings change while a gateway starts: libraries are being read, nothing listens yet.
+def test_sighup_during_the_start_does_not_end_the_process(tmp_path: Path) -> None:
+    """SIGHUP arrives while a gateway imports its libraries, before its ports are open.
 
-    Ended by the signal's default, it would be gone for one more start, and callers with it.
+    The default action would end the process, and callers would have no gateway until it has
+    started again.
     """
     front, ready, peer = free_ports(3)
     ports = f"listen: 127.0.0.1:{front}\nready: 127.0.0.1:{ready}\npeer: 127.0.0.1:{peer}\n"
@@ -105,28 +106,28 @@
     gateway.start()
     try:
         maps = Path(f"/proc/{gateway.pid}/maps")
-        wait_for(lambda: not gateway.running or "msgspec" in maps.read_text(), "msgspec is read")
-        gateway.signal(signal.SIGHUP)
         wait_for(
-            lambda: not gateway.running or "settings_reloaded" in gateway.output(), "it listens"
+            lambda: not gateway.running or "msgspec" in maps.read_text(), "msgspec is imported"
         )
+        gateway.signal(signal.SIGHUP)
+        wait_for(lambda: not gateway.running or "settings_reloaded" in gateway.output(), "reload")
         assert gateway.running
     finally:
         gateway.kill()
 
 
-def test_a_change_before_the_signal_is_listened_to_is_taken(file: Path) -> None:
-    """It came with a signal that was not heard, after the settings were read."""
-    taken: list[GatewaySettings] = []
+def test_change_before_the_signal_handler_is_installed_is_applied(file: Path) -> None:
+    """The file changed after it was read, and the signal came before the handler was installed."""
+    applied: list[GatewaySettings] = []
 
-    async def scene() -> None:
+    async def scenario() -> None:
         cfg = load_settings(file, GatewaySettings).unwrap()
         _write(file, "log_level: debug\n")
-        watch = SettingsWatch(str(file), cfg, taken.append, SystemClock())
+        watch = SettingsWatch(str(file), cfg, applied.append, SystemClock())
         before = signal.getsignal(signal.SIGHUP)
         watch.install()
         await asyncio.sleep(0)
         signal.signal(signal.SIGHUP, before)
 
-    asyncio.run(scene())
-    assert [cfg.log_level for cfg in taken] == ["debug"]
+    asyncio.run(scenario())
+    assert [cfg.log_level for cfg in applied] == ["debug"]
