--- a/bench/capacity/registrations.py
+++ b/bench/capacity/registrations.py
@@ -81,7 +81,7 @@
         """Take what one read brought, and all that follows; return the processor time in ms."""
         began = time.process_time()
         for record in records:
-            self.registrations.take(record)
+            self.registrations.apply_record(record)
         await asyncio.sleep(0)
         return 1000 * (time.process_time() - began)
 
--- a/cranberryline/gateway/app.py
+++ b/cranberryline/gateway/app.py
@@ -46,7 +46,7 @@
 from .relay import PATH_RELAY, RelayedLog, RelayHandler
 from .reload import SettingsWatch
 from .stop import StopParts, async_stop_gateway
-from .tasks import leave_log_to_handlers, run_soon, tell_failure
+from .tasks import leave_log_to_handlers, log_task_failure, run_soon
 
 __all__ = ["GatewayProcess", "run"]
 
@@ -158,7 +158,7 @@
         )
         self._config_tail = self._make_tail(platform.topic_operator, self._on_operator_record)
         self._upstreams_tail = self._make_tail(
-            platform.topic_upstreams, self.registrations.take, _UPSTREAMS_POLL_PAUSE
+            platform.topic_upstreams, self.registrations.apply_record, _UPSTREAMS_POLL_PAUSE
         )
         self._nodes_tail = self._make_tail(
             platform.topic_nodes, self.nodes.apply_record, _HEARTBEATS_POLL_PAUSE
@@ -242,7 +242,7 @@
             self._caller_server,
             self._peer_server,
             self.nodes,
-            self.store.end_reads,
+            self.store.cancel_peer_reads,
             lambda: self.runner.busy,
             self._mark_closed,
         )
@@ -299,7 +299,7 @@
 
     def _start_task(self, coroutine: Coroutine[Any, Any, Any]) -> None:
         task = asyncio.ensure_future(coroutine)
-        task.add_done_callback(tell_failure)
+        task.add_done_callback(log_task_failure)
         self._tasks.append(task)
 
     async def _async_expire_registrations(self) -> None:
--- a/cranberryline/gateway/registrations.py
+++ b/cranberryline/gateway/registrations.py
@@ -32,7 +32,7 @@
         self._pending: dict[str, Registration] = {}
         routes.listen(self._apply_pending)
 
-    def take(self, record: KeyedRecord) -> None:
+    def apply_record(self, record: KeyedRecord) -> None:
         """Apply a record; an empty one removes the registration of its key.
 
         An unreadable record also removes it, but has no other effect.
--- a/cranberryline/gateway/relay.py
+++ b/cranberryline/gateway/relay.py
@@ -85,7 +85,7 @@
         self._peer_reads: set[asyncio.Task[RelayAnswer]] = set()
         self._reads_rejected = False
 
-    def direct_lost(self, topic: str, part: int) -> bool:
+    def direct_unavailable(self, topic: str, part: int) -> bool:
         """Return whether direct calls about a partition currently fail.
 
         This is tracked by partition: if only some are unavailable, calls about the others must not
@@ -194,7 +194,7 @@
         finally:
             self._peer_reads.discard(task)
 
-    def end_reads(self) -> None:
+    def cancel_peer_reads(self) -> None:
         """Reject the reads of peers from now on, including pending ones; peers read elsewhere.
 
         Their reads may wait for records for any time, which would delay a shutdown up to its
@@ -206,7 +206,7 @@
 
     async def _async_answer(self, call: RelayAppend | RelayRead | RelayNewest) -> RelayAnswer:
         answer = RelayAnswer(StoreProblem.REFUSED.value, "peer cannot reach the store either")
-        if not self.direct_lost(*_partition_of(call)):
+        if not self.direct_unavailable(*_partition_of(call)):
             answer = await _async_execute(self.direct, call)
         if not answer.problem or StoreProblem(answer.problem) in _FINAL_PROBLEMS:
             self._last_answer_at = self._clock.elapsed()
@@ -242,8 +242,8 @@
         now = self._clock.monotonic()
         partition = _partition_of(call)
         next_probe_at = self._next_probe_at.get(partition)
-        # Only reads probe, and each partition is read all the time. The outcome of an append to a
-        # silent store would be unknown; through a peer, or rejected at once, it is certain.
+        # Only reads probe: each partition is read all the time, or by `_async_probe_unread`. An append
+        # to a silent store would have an unknown outcome; through a peer or rejected it is certain.
         if next_probe_at is None or (repeatable and now >= next_probe_at):
             if next_probe_at is not None:
                 self._next_probe_at[partition] = now + _PROBE_INTERVAL
@@ -278,7 +278,7 @@
             remaining = give_up_at - self._clock.monotonic()
             if remaining <= timedelta():
                 break
-            relayed_call = await self._async_ask(peer, call, remaining)
+            relayed_call = await self._async_call_peer(peer, call, remaining)
             if isinstance(relayed_call, Err):
                 error = relayed_call.unwrap_err()
                 if error.problem is StoreProblem.UNKNOWN and not repeatable:
@@ -313,7 +313,7 @@
             return None
         return max(peer_answered_at, self._last_answer_at)
 
-    async def _async_ask(
+    async def _async_call_peer(
         self, peer: str, call: "RelayAppend | RelayRead | RelayNewest", timeout: timedelta
     ) -> Result[RelayAnswer, StoreError]:
         req = UpstreamRequest("POST", PATH_RELAY, (), msgspec.msgpack.encode(call))
--- a/cranberryline/gateway/stop.py
+++ b/cranberryline/gateway/stop.py
@@ -21,7 +21,7 @@
 _BALANCER_NOTICE = timedelta(milliseconds=2300)
 # How long the first request of a connection that was opened just before the port closed may take
 # to arrive.
-_ARRIVAL = timedelta(milliseconds=50)
+_ARRIVAL_GRACE = timedelta(milliseconds=50)
 # Shares of the stop timeout, counted from the end of the load balancer's notice period.
 _FINISH_SHARE = 0.6
 _ITEMS_SHARE = 0.3
@@ -32,7 +32,7 @@
 class StopParts:
     """Parts of a gateway that take part in its shutdown.
 
-    `callers` and `peers` are the HTTP servers for callers and for other gateways. `end_reads` ends
+    `callers` and `peers` are the HTTP servers for callers and for other gateways. `cancel_peer_reads` ends
     the store reads that peers wait for. `items_left` returns whether job items are still running.
     `on_close` is called just before the remaining connections are closed.
     """
@@ -40,7 +40,7 @@
     callers: GracefulServer
     peers: GracefulServer
     nodes: NodeRegistry
-    end_reads: Callable[[], None]
+    cancel_peer_reads: Callable[[], None]
     items_left: Callable[[], bool]
     on_close: Callable[[], None]
 
@@ -57,11 +57,11 @@
     servers = (parts.callers, parts.peers)
     for server in servers:
         server.stop()
-    await clock.async_sleep(_ARRIVAL)
+    await clock.async_sleep(_ARRIVAL_GRACE)
     # Idle connections of peers stay open. Peers use a connection for one request only, so an idle
     # one is about to receive it.
     _LOGGER.info("connections_at_rest_closed", count=parts.callers.close_at_rest())
-    parts.end_reads()
+    parts.cancel_peer_reads()
     await _async_finish(parts, timeout, clock)
     cut, peers_cut = (server.open_requests for server in servers)
     _LOGGER.info(
--- a/cranberryline/gateway/tasks.py
+++ b/cranberryline/gateway/tasks.py
@@ -6,7 +6,7 @@
 
 from cranberryline.helpers.logging import get_logger
 
-__all__ = ["leave_log_to_handlers", "run_soon", "tell_failure"]
+__all__ = ["leave_log_to_handlers", "log_task_failure", "run_soon"]
 
 _LOGGER = get_logger(__name__)
 
@@ -23,7 +23,7 @@
     """Log nothing; used as tornado's `log_function`, since handlers log their own requests."""
 
 
-def tell_failure(task: "asyncio.Future[Any]") -> None:
+def log_task_failure(task: "asyncio.Future[Any]") -> None:
     """Log the exception of a background task, none of which should end by itself."""
     if not task.cancelled() and task.exception() is not None:
         _LOGGER.error("task_failed", error=repr(task.exception()))
--- a/tests/gateway/test_registrations.py
+++ b/tests/gateway/test_registrations.py
@@ -43,11 +43,11 @@
         UsersPlatform("127.0.0.1:9"), Directory(clock, StoreHealth(clock)), ActiveRoutes(), metrics
     )
     for _ in range(60):
-        registrations.take(KeyedRecord("i-1", b"\xff"))
-        registrations.take(KeyedRecord("i-2", b'{"service":5}'))
+        registrations.apply_record(KeyedRecord("i-1", b"\xff"))
+        registrations.apply_record(KeyedRecord("i-2", b'{"service":5}'))
         clock.advance(timedelta(seconds=1))
     clock.advance(timedelta(hours=1))
-    registrations.take(KeyedRecord("i-1", b"\xff"))
+    registrations.apply_record(KeyedRecord("i-1", b"\xff"))
     assert logger.warnings == ["registration_refused"] * 2
     counted = {
         sample.labels["reason"]: sample.value
--- a/tests/gateway/test_relay.py
+++ b/tests/gateway/test_relay.py
@@ -91,7 +91,7 @@
         link.refusing = lambda _topic, _part: False
         await asyncio.sleep(0.5)
         assert (await log.async_append("texts", 0, [b"c"], TIMEOUT)).is_ok()
-        assert not log.direct_lost("texts", 0)
+        assert not log.direct_unavailable("texts", 0)
 
     asyncio.run(scenario())
 
@@ -154,7 +154,7 @@
         log = _log(link)
         assert (await log.async_append("t", 1, [b"a"], TIMEOUT)).is_err()
         assert isinstance(await log.async_append("t", 0, [b"a"], TIMEOUT), Ok)
-        assert log.direct_lost("t", 1) and not log.direct_lost("t", 0)
+        assert log.direct_unavailable("t", 1) and not log.direct_unavailable("t", 0)
 
     asyncio.run(scenario())
 
@@ -222,7 +222,7 @@
         await asyncio.sleep(0.45)
         async with asyncio.timeout(0.5):
             assert (await log.async_read("t", 0, 0, timedelta(seconds=5), TIMEOUT)).is_ok()
-        assert not log.direct_lost("t", 0)
+        assert not log.direct_unavailable("t", 0)
 
     asyncio.run(scenario())
 
--- a/tests/jobs/gateway_fake.py
+++ b/tests/jobs/gateway_fake.py
@@ -125,7 +125,7 @@
         self.asked = 0
         self._others = others
 
-    async def _async_ask(
+    async def _async_call_peer(
         self, peer: str, call: Any, timeout: timedelta
     ) -> Result[RelayAnswer, StoreError]:
         self.asked += 1
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -284,7 +284,7 @@
     closes. With the code of that time the handler then passed the request on; later it dropped it.
     """
     monkeypatch.setattr(gateway_stop, "_BALANCER_NOTICE", timedelta())
-    monkeypatch.setattr(gateway_stop, "_ARRIVAL", timedelta())
+    monkeypatch.setattr(gateway_stop, "_ARRIVAL_GRACE", timedelta())
     handed: list[str] = []
     prepare = IngressHandler.prepare
 
