--- a/cranberryline/configs/__init__.py
+++ b/cranberryline/configs/__init__.py
@@ -1,4 +1,7 @@
-"""Configuration records: their schemas, and the fold that every process runs."""
+"""Configuration records: their schemas, and the fold that derives the current configuration.
+
+Every process folds the same records of the log in order, so all derive the same configuration.
+"""
 
 from .const import CONFIG_STREAM
 from .envelope import Amendment, read_amendment, read_amendment_spec
--- a/cranberryline/configs/envelope.py
+++ b/cranberryline/configs/envelope.py
@@ -1,4 +1,4 @@
-"""The envelope of a configuration record on the log: kind, name, schema, amends, spec."""
+"""Parse the envelope of a configuration record: kind, name, schema, amends, spec, author."""
 
 import re
 from typing import Any
@@ -17,7 +17,7 @@
     MAX_VERSION,
 )
 from .errors import Mistake, RejectReason
-from .fields import Field, choice, name_field, read_fields, whole
+from .fields import Field, choice, integer, name_field, read_fields
 from .model import Kind, Spec
 from .schema import known_schemas, read_spec
 
@@ -37,8 +37,8 @@
 ENVELOPE = {
     ATTR_KIND: choice(OPERATOR_KINDS),
     ATTR_NAME: name_field(),
-    ATTR_SCHEMA: whole(1, MAX_VERSION),
-    ATTR_AMENDS: whole(0, MAX_VERSION, 0),
+    ATTR_SCHEMA: integer(1, MAX_VERSION),
+    ATTR_AMENDS: integer(0, MAX_VERSION, 0),
     ATTR_SPEC: Field("a mapping, or null to delete", lambda v: v is None or isinstance(v, dict)),
     ATTR_AUTHOR: AUTHOR,
 }
@@ -46,7 +46,11 @@
 
 @attrs.frozen
 class Amendment:
-    """One operator's record: `amends` is the revision it replaces, 0 where there is none."""
+    """A record published by an operator.
+
+    `amends` is the revision that it replaces, 0 if there is none. `raw` is the spec as written, or
+    None if the record deletes the name.
+    """
 
     kind: Kind
     name: str
@@ -56,7 +60,7 @@
     author: str = ""
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the record as it stands on the log."""
+        """Return the record in the form that it has on the log."""
         return {
             ATTR_KIND: self.kind.value,
             ATTR_NAME: self.name,
@@ -69,7 +73,10 @@
 
 @attrs.frozen
 class EnvelopeError:
-    """Why a record cannot be read; the amendment is there when only its spec is at fault."""
+    """The reason why a record cannot be read.
+
+    `amendment` is set if the envelope is valid and only the spec could not be read.
+    """
 
     reason: RejectReason
     detail: str
@@ -78,7 +85,7 @@
 
 
 def read_amendment(data: Any) -> Result[Amendment, EnvelopeError]:
-    """Read a record's envelope; its spec is not looked at."""
+    """Parse a record's envelope; its spec is not validated."""
     values, mistakes = read_fields(data, ENVELOPE)
     if mistakes:
         reason = RejectReason.MALFORMED
@@ -98,12 +105,12 @@
 
 
 def read_amendment_spec(amendment: Amendment) -> Result[Spec | None, EnvelopeError]:
-    """Read the spec of an amendment; None for a deletion."""
+    """Parse and validate the spec of an amendment; return None if it deletes the record."""
     known = known_schemas(amendment.kind)
     if amendment.schema not in known:
         allowed = "one of " + ", ".join(str(version) for version in known)
         detail = (
-            f"schema {amendment.schema} of kind {amendment.kind.value} is not known here; "
+            f"schema {amendment.schema} of kind {amendment.kind.value} is not supported by this release; "
             f"known: {', '.join(str(version) for version in known)}"
         )
         mistake = Mistake(ATTR_SCHEMA, amendment.schema, allowed)
--- a/cranberryline/configs/errors.py
+++ b/cranberryline/configs/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the configuration layer."""
+"""Reasons why configuration records are rejected."""
 
 import enum
 from typing import Any
@@ -9,34 +9,34 @@
 
 
 class RejectReason(enum.StrEnum):
-    """Why a record of the log is not in force, or was not folded."""
+    """The reason why a record of the log did not come into force, or was not folded."""
 
-    GAP = "gap"  # records before it are missing; nothing changed
-    STALE = "stale"  # its offset was folded before; nothing changed
-    MALFORMED = "malformed"  # not a configuration record of ours
+    GAP = "gap"  # the records before it have not been folded; nothing changed
+    STALE = "stale"  # its offset was already folded; nothing changed
+    MALFORMED = "malformed"  # not a valid configuration record
     UNKNOWN_KIND = "unknown_kind"
     UNKNOWN_SCHEMA = "unknown_schema"
     INVALID = "invalid"
-    CONFLICT = "conflict"  # it amends a revision that is no longer the current one
-    REPEATED = "repeated"  # a second append of the record in force, after a lost answer
+    CONFLICT = "conflict"  # the revision it amends is not the current one
+    REPEATED = "repeated"  # appended again after the response to the first append was lost
 
 
 @attrs.frozen
 class Mistake:
-    """One mistake in a record: where, what stands there, what may stand there."""
+    """A validation error in a record: the key, its value, and a description of what is allowed."""
 
     key: str
     value: Any
     allowed: str
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the mistake as JSON data."""
+        """Return the validation error as JSON data."""
         return {"key": self.key, "value": self.value, "allowed": self.allowed}
 
 
 @attrs.frozen
 class Rejected:
-    """A record that was refused; `revision` is the one in force instead, 0 for none."""
+    """A record that was rejected; `revision` is the one that stays in force, 0 if there is none."""
 
     reason: RejectReason
     offset: int
@@ -48,5 +48,8 @@
 
     @property
     def folded(self) -> bool:
-        """Return whether the fold moved past the record (all but gaps and repeats)."""
+        """Return whether the fold's offset moved past the record.
+
+        It does for every reason except `GAP` and `STALE`.
+        """
         return self.reason not in (RejectReason.GAP, RejectReason.STALE)
--- a/cranberryline/configs/fields.py
+++ b/cranberryline/configs/fields.py
@@ -1,4 +1,4 @@
-"""Checks of single fields, which collect every mistake instead of stopping at the first."""
+"""Validate the fields of a mapping and collect all validation errors, not only the first."""
 
 import math
 import re
@@ -10,20 +10,20 @@
 from .const import MAX_NAME_LENGTH, MAX_TEXT_LENGTH
 from .errors import Mistake
 
-__all__ = ["Field", "choice", "fraction", "name_field", "number", "text", "whole", "read_fields"]
+__all__ = ["Field", "choice", "fraction", "name_field", "integer", "number", "text", "read_fields"]
 
 NAME_PATTERN = re.compile(rf"[A-Za-z0-9][A-Za-z0-9._-]{{0,{MAX_NAME_LENGTH - 1}}}")
 NAME_ALLOWED = (
     f"a name of letters, digits, '.', '_' and '-', at most {MAX_NAME_LENGTH} characters, "
     "starting with a letter or digit"
 )
-SHOWN_LENGTH = 120
-REQUIRED = object()
+MAX_SHOWN_LENGTH = 120  # characters of a value that an error message shows
+REQUIRED = object()  # default of a field that has none
 
 
 @attrs.frozen
 class Field:
-    """One field: what is allowed, the test for it, and the default where it may be left out."""
+    """A field: a description of what is allowed, the test for it, and the default if optional."""
 
     allowed: str
     test: Callable[[Any], bool]
@@ -35,21 +35,23 @@
 
 
 def number(low: float, high: float, default: Any = REQUIRED, above: bool = False) -> Field:
-    """Allow a finite number in a range; with `above`, only above its lower end."""
+    """Allow a finite number in a range; `above` excludes the lower bound."""
 
     def test(value: Any) -> bool:
         return _is_number(value) and low <= value <= high and not (above and value == low)
 
-    words = f"a number above {low:g} and up to {high:g}" if above else f"a number {low:g}..{high:g}"
-    return Field(words, test, default)
+    allowed = (
+        f"a number above {low:g} and up to {high:g}" if above else f"a number {low:g}..{high:g}"
+    )
+    return Field(allowed, test, default)
 
 
 def fraction(default: Any = REQUIRED, above: bool = False) -> Field:
-    """Allow a number from 0 to 1."""
+    """Allow a number from 0 to 1; `above` excludes 0."""
     return number(0, 1, default, above)
 
 
-def whole(low: int, high: int, default: Any = REQUIRED) -> Field:
+def integer(low: int, high: int, default: Any = REQUIRED) -> Field:
     """Allow an integer in a range."""
 
     def test(value: Any) -> bool:
@@ -59,7 +61,7 @@
 
 
 def text(default: Any = REQUIRED) -> Field:
-    """Allow a string that is not empty, unless it may be left out."""
+    """Allow a string of printable characters; it may be empty only if that is the default."""
     low = 0 if default == "" else 1
 
     def test(value: Any) -> bool:
@@ -70,14 +72,14 @@
 
 
 def name_field() -> Field:
-    """Allow a record's name."""
+    """Allow the name of a record."""
     return Field(
         NAME_ALLOWED, lambda value: isinstance(value, str) and bool(NAME_PATTERN.fullmatch(value))
     )
 
 
 def choice(values: list[str], default: Any = REQUIRED) -> Field:
-    """Allow one of a few strings."""
+    """Allow one of the given strings."""
     return Field(
         "one of " + ", ".join(values),
         lambda value: isinstance(value, str) and value in values,
@@ -85,26 +87,33 @@
     )
 
 
-def shown(value: Any) -> Any:
-    """Return a value fit for a message: short, and JSON."""
+def abbreviate_value(value: Any) -> Any:
+    """Return a value as an error message shows it: shortened, and encodable as JSON."""
     if value is None or isinstance(value, bool | int):
         return value
     if isinstance(value, float):
         return value if math.isfinite(value) else repr(value)
     if not isinstance(value, str):
         return f"a {type(value).__name__}"
-    return value if len(value) <= SHOWN_LENGTH else value[:SHOWN_LENGTH] + "..."
+    return value if len(value) <= MAX_SHOWN_LENGTH else value[:MAX_SHOWN_LENGTH] + "..."
 
 
 def read_fields(
     data: Any, fields: dict[str, Field], prefix: str = ""
 ) -> tuple[dict[str, Any], list[Mistake]]:
-    """Read the fields of a mapping; return the good ones and all the mistakes."""
+    """Validate a mapping; return the valid fields, with defaults, and all validation errors.
+
+    `prefix` is put before each key in the errors, such as `queue.` for a nested mapping.
+    """
     if not isinstance(data, dict):
-        return {}, [Mistake(prefix.rstrip(".") or "spec", shown(data), "a mapping")]
+        return {}, [Mistake(prefix.rstrip(".") or "spec", abbreviate_value(data), "a mapping")]
     values: dict[str, Any] = {}
     mistakes = [
-        Mistake(f"{prefix}{shown(key)}", shown(data[key]), "one of the keys " + ", ".join(fields))
+        Mistake(
+            f"{prefix}{abbreviate_value(key)}",
+            abbreviate_value(data[key]),
+            "one of the keys " + ", ".join(fields),
+        )
         for key in data
         if key not in fields
     ]
@@ -118,5 +127,5 @@
         if field.test(data[key]):
             values[key] = data[key]
         else:
-            mistakes.append(Mistake(f"{prefix}{key}", shown(data[key]), field.allowed))
+            mistakes.append(Mistake(f"{prefix}{key}", abbreviate_value(data[key]), field.allowed))
     return values, mistakes
--- a/cranberryline/configs/model.py
+++ b/cranberryline/configs/model.py
@@ -32,7 +32,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What a record configures; `checkpoint` is written by the system itself."""
+    """The kind of object that a record configures; only the service itself writes checkpoints."""
 
     SERVICE = "service"
     TRAINER = "trainer"
@@ -42,14 +42,14 @@
 
 
 class ServiceType(enum.StrEnum):
-    """What stands behind a service's side processes."""
+    """The type of upstream behind a service's side processes."""
 
-    ENGINE = "engine"
-    PLAIN = "plain"
+    ENGINE = "engine"  # a model engine
+    PLAIN = "plain"  # a plain HTTP service
 
 
 class CallerClass(enum.StrEnum):
-    """Class of a caller's requests, the most urgent first."""
+    """Priority class of a caller's requests, highest priority first."""
 
     APPLICATION = "application"
     TRAINER = "trainer"
@@ -58,7 +58,12 @@
 
 @attrs.frozen
 class ServiceSpec:
-    """A service: its type, its limits, and how its weights are shifted."""
+    """A service: its type, its limits, and how its replicas are moved to new weights.
+
+    `model` is required for the type engine. `concurrency` is the number of requests that run at
+    once. `swap_fraction` is the largest fraction of replicas that load new weights at once, and
+    `fetches_per_second` the rate at which the store of the weights can be read.
+    """
 
     type: ServiceType
     model: str = ""
@@ -72,7 +77,10 @@
 
 @attrs.frozen
 class TrainerSpec:
-    """A trainer; `freshness` trades idle time (0) for fresh samples (1)."""
+    """A trainer: its service and the limits on its samples.
+
+    `freshness` is the balance between little idle time (0) and fresh samples (1).
+    """
 
     service: str
     staleness_bound: int = DEFAULT_STALENESS_BOUND
@@ -82,14 +90,14 @@
 
 @attrs.frozen
 class WeightsSpec:
-    """The weight version that a service has to serve; the record's name is the service's."""
+    """The weight version that a service must serve; the record has the name of the service."""
 
     version: int
 
 
 @attrs.frozen
 class CallerSpec:
-    """A caller's share of a contended service, and the class of its requests."""
+    """A caller's share of an overloaded service, and the priority class of its requests."""
 
     share: float = DEFAULT_SHARE
     caller_class: CallerClass = CallerClass.APPLICATION
@@ -100,9 +108,9 @@
 
 @attrs.frozen
 class Revision:
-    """One accepted record: as it was written, and its specification in today's schema.
+    """An accepted record: its spec as written (`raw`) and converted to the current type (`spec`).
 
-    `offset` is the revision number. `spec` is None for a record that was deleted.
+    `offset` is the revision number. `raw` and `spec` are None if the record deletes the name.
     """
 
     offset: int
@@ -117,7 +125,7 @@
     author: str = ""
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the revision as JSON data, with the specification as written."""
+        """Return the revision as JSON data, with the spec as written."""
         return {
             "kind": self.kind.value,
             "name": self.name,
--- a/cranberryline/configs/publish.py
+++ b/cranberryline/configs/publish.py
@@ -16,7 +16,7 @@
 from .const import ATTR_ID, ATTR_KIND, ATTR_SCHEMA, ATTR_SPEC, CONFIG_STREAM
 from .envelope import RECORD_ID, Amendment, read_amendment, read_amendment_spec
 from .errors import Mistake, Rejected, RejectReason
-from .fields import shown
+from .fields import abbreviate_value
 from .fold import Applied, ConfigFold
 from .model import Kind, Revision
 from .schema import known_schemas, read_spec
@@ -226,7 +226,7 @@
     """Read an operator's record; report all mistakes of envelope and spec together."""
     mistakes: list[Mistake] = []
     if not RECORD_ID.test(record_id):
-        mistakes.append(Mistake(ATTR_ID, shown(record_id), RECORD_ID.allowed))
+        mistakes.append(Mistake(ATTR_ID, abbreviate_value(record_id), RECORD_ID.allowed))
     match read_amendment(data):
         case Err(error):
             mistakes += [*error.mistakes, *_spec_mistakes(data)]
@@ -265,7 +265,11 @@
 
 def _invalid(record_id: str, mistakes: list[Mistake]) -> PublishRefused:
     return PublishRefused(
-        PublishReason.INVALID, shown(record_id), Ran.NO, ADVICE_INVALID, mistakes=tuple(mistakes)
+        PublishReason.INVALID,
+        abbreviate_value(record_id),
+        Ran.NO,
+        ADVICE_INVALID,
+        mistakes=tuple(mistakes),
     )
 
 
--- a/cranberryline/configs/schema.py
+++ b/cranberryline/configs/schema.py
@@ -1,7 +1,7 @@
-"""Readers of each kind's schema versions; old records are upgraded on reading.
+"""Parsers for the schema versions of each kind; older versions are converted when parsed.
 
-The rules of a schema that has been published are never changed, since the fold would then differ
-between processes of two releases. A new rule takes a new schema version.
+The rules of a released schema version must never change: processes of two releases would then fold
+the same records into different configurations. A new rule needs a new schema version.
 """
 
 from collections.abc import Callable
@@ -29,7 +29,7 @@
     MAX_VERSION,
 )
 from .errors import Mistake
-from .fields import Field, choice, fraction, name_field, number, read_fields, text, whole
+from .fields import Field, choice, fraction, integer, name_field, number, read_fields, text
 from .model import (
     CallerClass,
     CallerSpec,
@@ -49,7 +49,7 @@
 SERVICE_COMMON = {
     "type": choice([kind.value for kind in ServiceType]),
     "model": text(""),
-    "concurrency": whole(1, MAX_CONCURRENCY, DEFAULT_CONCURRENCY),
+    "concurrency": integer(1, MAX_CONCURRENCY, DEFAULT_CONCURRENCY),
     "timeout_seconds": number(0, MAX_SECONDS, DEFAULT_TIMEOUT_SECONDS, above=True),
     "leave_seconds": number(0, MAX_SECONDS, DEFAULT_LEAVE_SECONDS),
 }
@@ -70,11 +70,11 @@
 
 TRAINER_1 = {
     "service": name_field(),
-    "staleness_bound": whole(0, MAX_STALENESS_BOUND, DEFAULT_STALENESS_BOUND),
+    "staleness_bound": integer(0, MAX_STALENESS_BOUND, DEFAULT_STALENESS_BOUND),
     "freshness": fraction(DEFAULT_FRESHNESS),
-    "max_in_flight": whole(1, MAX_IN_FLIGHT, DEFAULT_MAX_IN_FLIGHT),
+    "max_in_flight": integer(1, MAX_IN_FLIGHT, DEFAULT_MAX_IN_FLIGHT),
 }
-WEIGHTS_1 = {"version": whole(1, MAX_VERSION)}
+WEIGHTS_1 = {"version": integer(1, MAX_VERSION)}
 CALLER_1 = {
     "share": number(0, MAX_SHARE, DEFAULT_SHARE, above=True),
     "class": choice([kind.value for kind in CallerClass], CallerClass.APPLICATION.value),
@@ -130,15 +130,15 @@
 
 
 def known_schemas(kind: Kind) -> list[int]:
-    """Return the schema versions of a kind that this release can read, oldest first."""
+    """Return the schema versions of a kind that this release supports, oldest first."""
     return sorted(READERS.get(kind, {}))
 
 
 def check_name(name: Any) -> list[Mistake]:
-    """Return what is wrong with a record's name."""
+    """Return the validation errors of a record's name."""
     return read_fields({"name": name}, {"name": name_field()})[1]
 
 
 def read_spec(kind: Kind, schema: int, data: Any) -> Result[Spec, list[Mistake]]:
-    """Read a specification written under a known schema version into today's type."""
+    """Parse a spec of a supported schema version into its current type."""
     return READERS[kind][schema](data)
--- a/cranberryline/configs/snapshot.py
+++ b/cranberryline/configs/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of the fold, as carried by checkpoints and handed to starters."""
+"""Snapshots of the fold, which are stored in checkpoints and sent to processes that start."""
 
 import hashlib
 import json
@@ -49,7 +49,10 @@
 
 @attrs.frozen
 class Unread:
-    """A record that only a newer release can read, kept for a process of that release."""
+    """A record in a schema version that this release does not support.
+
+    It is kept in snapshots so that a process of a newer release can put it in force.
+    """
 
     offset: int
     time: str
@@ -57,7 +60,7 @@
     amendment: Amendment
 
     def as_revision(self, spec: Spec | None) -> Revision:
-        """Return the revision that the record is, once its specification can be read."""
+        """Return the record as a revision with the given spec."""
         amendment = self.amendment
         return Revision(
             self.offset,
@@ -75,7 +78,7 @@
 
 @attrs.frozen
 class CheckpointMark:
-    """The last checkpoint folded: what it holds, where it stands, when it was written."""
+    """The last checkpoint folded: the offset that it covers, its own offset, and its time."""
 
     as_of: int = 0
     offset: int = 0
@@ -84,7 +87,10 @@
 
 @attrs.frozen
 class Snapshot:
-    """The whole fold as of an offset."""
+    """The state of the fold at the offset `as_of`.
+
+    `reads` has the schema versions, by kind, that the writer of the snapshot supports.
+    """
 
     as_of: int
     entries: tuple[Revision, ...]
@@ -95,7 +101,10 @@
 
 @attrs.frozen
 class Checkpoint:
-    """A checkpoint record: a snapshot, and the digest that a full fold has there."""
+    """A checkpoint record: a snapshot and the digest of its entries.
+
+    A process that folded every record up to `as_of` must have the same digest.
+    """
 
     snapshot: Snapshot
     digest: int
@@ -103,18 +112,18 @@
 
 @attrs.frozen
 class SnapshotError:
-    """Why a snapshot was refused as a whole."""
+    """The reason why a snapshot was rejected."""
 
     detail: str
 
 
 def known_reads() -> dict[str, list[int]]:
-    """Return the schema versions that this release can read, by kind."""
+    """Return the schema versions that this release supports, by kind."""
     return {kind.value: known_schemas(kind) for kind in Kind if kind is not Kind.CHECKPOINT}
 
 
 def revision_digest(revision: Revision) -> int:
-    """Return the digest of one revision; the record's time plays no part."""
+    """Return the digest of a revision, which does not include the record's time."""
     fields = [
         revision.kind.value,
         revision.name,
@@ -129,12 +138,15 @@
 
 
 def digest_of(revisions: tuple[Revision, ...]) -> int:
-    """Return the digest of a set of revisions: their sum, so that it can be kept up to date."""
+    """Return the digest of a set of revisions.
+
+    It is the sum of their digests, so that it can be updated when one revision changes.
+    """
     return sum(revision_digest(revision) for revision in revisions) % 2**DIGEST_BITS
 
 
 def revision_data(revision: Revision) -> dict[str, Any]:
-    """Return a revision as it stands in a snapshot."""
+    """Return a revision in the form that it has in a snapshot."""
     return {
         ATTR_OFFSET: revision.offset,
         ATTR_TIME: revision.time,
@@ -167,13 +179,13 @@
     return isinstance(value, int) and not isinstance(value, bool) and 0 < value <= high
 
 
-def _read_head(row: Any, as_of: int) -> Result[Unread, SnapshotError]:
+def _read_row(row: Any, as_of: int) -> Result[Unread, SnapshotError]:
     if not isinstance(row, dict):
         return Err(SnapshotError("a row is not a mapping"))
     rest = dict(row)
     offset, time, id_ = (rest.pop(key, None) for key in (ATTR_OFFSET, ATTR_TIME, ATTR_ID))
     if not _is_offset(offset, as_of) or not isinstance(time, str) or not isinstance(id_, str):
-        return Err(SnapshotError("a row's offset, time or id is not one"))
+        return Err(SnapshotError("a row has an invalid offset, time or id"))
     match read_amendment(rest):
         case Err(error):
             return Err(SnapshotError(f"row {offset}: {error.detail}"))
@@ -182,10 +194,10 @@
 
 
 def _read_revision(row: Any, as_of: int) -> Result[Revision, SnapshotError]:
-    head = _read_head(row, as_of)
-    if isinstance(head, Err):
-        return head
-    unread = head.ok_value
+    record = _read_row(row, as_of)
+    if isinstance(record, Err):
+        return record
+    unread = record.ok_value
     amendment = unread.amendment
     match read_amendment_spec(amendment):
         case Err(error):
@@ -194,7 +206,7 @@
             return Ok(unread.as_revision(spec))
 
 
-def _read_mark(value: Any) -> CheckpointMark | None:
+def _read_last_checkpoint(value: Any) -> CheckpointMark | None:
     match value:
         case [int() as as_of, int() as offset, str() as time] if 0 <= as_of <= offset:
             return CheckpointMark(as_of, offset, time)
@@ -203,14 +215,17 @@
 
 
 def read_snapshot(data: Any) -> Result[Snapshot, SnapshotError]:
-    """Read a snapshot; one bad row refuses the whole, since a part would lack records."""
+    """Parse a snapshot.
+
+    One invalid row rejects the whole snapshot, because without it records would be missing.
+    """
     if not isinstance(data, dict):
         return Err(SnapshotError("not a mapping"))
     as_of, rows = data.get(ATTR_AS_OF), data.get(ATTR_ENTRIES)
-    reads, kept = data.get(ATTR_READS), data.get(ATTR_UNREAD, [])
+    reads, unread_rows = data.get(ATTR_READS), data.get(ATTR_UNREAD, [])
     if not isinstance(as_of, int) or isinstance(as_of, bool) or as_of < 0:
-        return Err(SnapshotError("as_of is not an offset"))
-    if not isinstance(rows, list | tuple) or not isinstance(kept, list | tuple):
+        return Err(SnapshotError("as_of is not a valid offset"))
+    if not isinstance(rows, list | tuple) or not isinstance(unread_rows, list | tuple):
         return Err(SnapshotError("entries or unread is not a list"))
     if not isinstance(reads, dict):
         return Err(SnapshotError("reads is not a mapping"))
@@ -221,21 +236,21 @@
             return revision
         entries.append(revision.ok_value)
     unread: list[Unread] = []
-    for row in kept:
-        head = _read_head(row, as_of)
-        if isinstance(head, Err):
-            return head
-        unread.append(head.ok_value)
-    mark = _read_mark(data.get(ATTR_CHECKPOINT))
+    for row in unread_rows:
+        record = _read_row(row, as_of)
+        if isinstance(record, Err):
+            return record
+        unread.append(record.ok_value)
+    mark = _read_last_checkpoint(data.get(ATTR_CHECKPOINT))
     if mark is None:
-        return Err(SnapshotError("the mark of the last checkpoint is not one"))
+        return Err(SnapshotError("the position of the last checkpoint is not valid"))
     if len({(entry.kind, entry.name) for entry in entries}) != len(entries):
-        return Err(SnapshotError("a name stands twice"))
+        return Err(SnapshotError("two entries have the same kind and name"))
     return Ok(Snapshot(as_of, tuple(entries), tuple(unread), reads, mark))
 
 
 def checkpoint_data(snapshot: Snapshot) -> dict[str, Any]:
-    """Return a checkpoint record's data."""
+    """Return the data of a checkpoint record."""
     return {
         ATTR_KIND: Kind.CHECKPOINT.value,
         ATTR_SCHEMA: CHECKPOINT_SCHEMA,
@@ -245,9 +260,12 @@
 
 
 def read_checkpoint(offset: int, data: dict[str, Any]) -> Result[Checkpoint, SnapshotError]:
-    """Read a checkpoint record; it must be older than its own offset and match its digest."""
+    """Parse a checkpoint record.
+
+    Its `as_of` must be lower than its own offset, and its digest must match its entries.
+    """
     if data.get(ATTR_SCHEMA) != CHECKPOINT_SCHEMA:
-        return Err(SnapshotError(f"checkpoint schema {data.get(ATTR_SCHEMA)!r} is not known"))
+        return Err(SnapshotError(f"checkpoint schema {data.get(ATTR_SCHEMA)!r} is not supported"))
     match read_snapshot(data.get(ATTR_SNAPSHOT)):
         case Err(error):
             return Err(error)
@@ -256,5 +274,5 @@
             if data.get(ATTR_DIGEST) != f"{digest:064x}":
                 return Err(SnapshotError("the digest does not match the entries"))
             if snapshot.as_of >= offset:
-                return Err(SnapshotError("as_of is not older than the record"))
+                return Err(SnapshotError("as_of is not lower than the offset of the record"))
             return Ok(Checkpoint(snapshot, digest))
--- a/cranberryline/configs/wire.py
+++ b/cranberryline/configs/wire.py
@@ -1,10 +1,4 @@
-"""Keep records of the log within what every process can store, relay and show.
-
-The log takes any JSON. A record with an integer beyond 64 bits, a lone surrogate, a list in place of a
-mapping or a depth of thousands could not be written into a message, or would be refused whole by
-the receiver, and with it every record after it: nothing would ever come into force again. Such a
-record is not ours, so each reader puts an empty one in its place, at the same offset, alike.
-"""
+"""Replace records of the log that cannot be encoded in messages between processes."""
 
 import math
 from typing import Any
@@ -29,8 +23,15 @@
 
 
 def safe_record(record: LogRecord) -> LogRecord:
-    """Return the record, with an empty one's data or a made-up id where it cannot travel."""
-    data = record.data if _fits(record.data) else {}
+    """Return the record, with empty data or a generated id if it could not be sent to a peer.
+
+    The log accepts any JSON. A record with an integer beyond 64 bits, a lone surrogate, a list in
+    place of a mapping or thousands of nested levels could not be encoded, or the receiver would
+    reject the whole message, and with it every later record: no change would come into force again.
+    Such a record is not a valid configuration record, so every process replaces it in the same way,
+    at the same offset.
+    """
+    data = record.data if _can_be_sent(record.data) else {}
     record_id = record.id if _is_id(record.id) else f"offset-{record.offset}"
     if data is record.data and record_id is record.id:
         return record
@@ -38,7 +39,10 @@
 
 
 def wire_size(record: LogRecord) -> int:
-    """Return about how many bytes a safe record takes in a message."""
+    """Return the approximate size in bytes of a record in a message.
+
+    The record must have been returned by `safe_record`.
+    """
     return len(_ENCODER.encode(record.data))
 
 
@@ -46,8 +50,8 @@
     return isinstance(value, str) and 0 < len(value) <= MAX_ID_LENGTH and value.isprintable()
 
 
-def _fits(data: Any) -> bool:
-    if not isinstance(data, dict) or not _is_plain(data):
+def _can_be_sent(data: Any) -> bool:
+    if not isinstance(data, dict) or not _has_only_encodable_values(data):
         return False
     limit = MAX_CHECKPOINT_BYTES if data.get(ATTR_KIND) == Kind.CHECKPOINT else MAX_RECORD_BYTES
     try:
@@ -56,22 +60,22 @@
         return False
 
 
-def _is_plain(data: Any) -> bool:
+def _has_only_encodable_values(data: Any) -> bool:
     level = [data]
     for _ in range(MAX_DEPTH):
         if not level:
             return True
-        below: list[Any] = []
+        next_level: list[Any] = []
         for value in level:
             if isinstance(value, dict):
                 if not all(isinstance(key, str) for key in value):
                     return False
-                below += value.values()
+                next_level += value.values()
             elif isinstance(value, list | tuple):
-                below += value
+                next_level += value
             elif not _is_scalar(value):
                 return False
-        level = below
+        level = next_level
     return not level
 
 
--- a/tests/configs/config_fakes.py
+++ b/tests/configs/config_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces: the log, and connections that lose, delay and repeat messages."""
+"""Fakes of the log, and of connections that lose, delay and duplicate messages."""
 
 import asyncio
 import random
@@ -28,19 +28,24 @@
 
 
 def weights_data(version: Any, amends: int = 0, name: str = "samplers") -> dict[str, Any]:
-    """Return a weights record's data."""
+    """Return the data of a weights record."""
     spec = {"version": version}
     return {"kind": "weights", "name": name, "schema": 1, "amends": amends, "spec": spec}
 
 
 def service_data(amends: int = 0, name: str = "samplers", **spec: Any) -> dict[str, Any]:
-    """Return a service record's data."""
+    """Return the data of a service record."""
     spec = {"type": "engine", "model": "m", **spec}
     return {"kind": "service", "name": name, "schema": 2, "amends": amends, "spec": spec}
 
 
 class FakeLog(LogPort):
-    """A log in memory with outages, lost answers, silent readers and retention."""
+    """A log in memory with outages, lost responses, read latency and retention.
+
+    `first` is the oldest offset that it keeps. While `out` is set, each call fails as in an outage.
+    The next `lose_answers` appends take effect, but their responses are lost. The next appends fail
+    with `append_errors`, in order.
+    """
 
     def __init__(self) -> None:
         self.clock = LoopClock()
@@ -60,14 +65,14 @@
         return self.first + len(self.records)
 
     def put(self, data: Any, record_id: str = "") -> int:
-        """Append a record at once, as another process would."""
+        """Append a record without waking readers, as if another process had written it."""
         offset = self.next
         record_id = record_id or f"put-{offset}"
         self.records.append(LogRecord(offset, self.clock.now(), record_id, data))
         return offset
 
     def forget(self, first: int) -> None:
-        """Drop the records before an offset."""
+        """Drop the records before an offset, as the log does after its retention."""
         self.records = [record for record in self.records if record.offset >= first]
         self.first = first
 
@@ -81,7 +86,7 @@
     async def async_append(
         self, stream: str, records: list[tuple[str, dict[str, Any]]]
     ) -> Result[list[int], PlatformError]:
-        """Append, unless out; lose the answer where told to."""
+        """Append, or fail in an outage; return an error in place of a response that is lost."""
         self.appends += 1
         await asyncio.sleep(0.002)
         if self.out:
@@ -97,7 +102,7 @@
     async def async_read(
         self, stream: str, start: int, limit: int = 500, wait: timedelta = timedelta()
     ) -> Result[LogPage, PlatformError]:
-        """Read a page, waiting for the first record where asked to."""
+        """Read a page; with `wait`, wait up to that long for the first record."""
         self.reads += 1
         await asyncio.sleep(self.latency)
         if self.out:
@@ -116,33 +121,33 @@
 
 
 class SilentLog(FakeLog):
-    """A view of another log through a connection that, once silent, carries nothing."""
+    """Another log behind a connection that transfers nothing while `silent` is set."""
 
-    def __init__(self, behind: FakeLog) -> None:
+    def __init__(self, wrapped_log: FakeLog) -> None:
         super().__init__()
-        self.behind = behind
+        self.wrapped_log = wrapped_log
         self.silent = False
 
     async def async_append(
         self, stream: str, records: list[tuple[str, dict[str, Any]]]
     ) -> Result[list[int], PlatformError]:
-        """Pass on, or wait for ever."""
+        """Forward the call, or never return."""
         if self.silent:
             await asyncio.sleep(10**6)
-        return await self.behind.async_append(stream, records)
+        return await self.wrapped_log.async_append(stream, records)
 
     async def async_read(
         self, stream: str, start: int, limit: int = 500, wait: timedelta = timedelta()
     ) -> Result[LogPage, PlatformError]:
-        """Pass on, or wait for ever; an answer that is under way is lost too."""
-        answer = await self.behind.async_read(stream, start, limit, wait)
+        """Forward the call, or never return; a response on its way is lost too."""
+        answer = await self.wrapped_log.async_read(stream, start, limit, wait)
         if self.silent:
             await asyncio.sleep(10**6)
         return answer
 
 
 class Node:
-    """One process of the cluster: an entry or a side process, and its tasks."""
+    """One process of the cluster, a gateway (entry) or a side process, and its task."""
 
     def __init__(self, name: str, sync: EntryConfigSync | SideConfigSync) -> None:
         self.name = name
@@ -153,19 +158,19 @@
 
     @property
     def entry(self) -> bool:
-        """Return whether it is an entry."""
+        """Return whether the process is a gateway."""
         return isinstance(self.sync, EntryConfigSync)
 
 
 class NodePort(RelayPort):
-    """One node's connections."""
+    """The connections of one node."""
 
     def __init__(self, cluster: "Cluster", name: str) -> None:
         self._cluster = cluster
         self._name = name
 
     def entry_peers(self) -> Iterable[str]:
-        """Return the connected entries."""
+        """Return the connected gateways."""
         return self._cluster.peers(self._name, entries=True)
 
     def side_peers(self) -> Iterable[str]:
@@ -173,12 +178,17 @@
         return self._cluster.peers(self._name, entries=False)
 
     def send(self, peer: str, message: Message) -> None:
-        """Send through the cluster's network."""
-        self._cluster.carry(self._name, peer, message)
+        """Send a message over the network of the cluster."""
+        self._cluster.transfer(self._name, peer, message)
 
 
 class Cluster:
-    """Entries and side processes that all know each other, over a network that may lose."""
+    """Gateways and side processes, connected by a network that may lose messages.
+
+    `loss` and `repeat` are the probabilities that a message is lost or delivered twice, `max_delay`
+    its largest delay in seconds, `cut` the pairs of nodes whose connection transfers nothing, and
+    `listed` the gateways in the VM list.
+    """
 
     def __init__(self, log: FakeLog, seed: int = 1) -> None:
         self.log = log
@@ -200,7 +210,7 @@
         timings: SyncTimings | None = None,
         checkpoints: CheckpointPolicy | None = None,
     ) -> EntryConfigSync:
-        """Start an entry."""
+        """Start a gateway."""
         self.metrics[name] = Metrics()
         sync = EntryConfigSync(
             name,
@@ -223,7 +233,10 @@
         return sync
 
     def kill(self, name: str, listed: bool = True) -> None:
-        """Kill a process; the VM list lags, so that it stays listed unless told otherwise."""
+        """Kill a process.
+
+        The VM list is updated later, so a killed gateway stays in it unless `listed` is False.
+        """
         node = self.nodes.pop(name)
         node.alive = False
         if node.task is not None:
@@ -234,20 +247,20 @@
             other.sync.on_peer_lost(name)
 
     def close(self) -> None:
-        """Kill all."""
+        """Kill all processes."""
         for name in list(self.nodes):
             self.kill(name)
 
     def peers(self, name: str, entries: bool) -> list[str]:
-        """Return the nodes that one is connected to; side processes only know entries."""
+        """Return the nodes that a node is connected to; side processes connect only to gateways."""
         if name not in self.nodes or (not entries and not self.nodes[name].entry):
             return []
         return [
             node.name for node in self.nodes.values() if node.name != name and node.entry == entries
         ]
 
-    def carry(self, source: str, target: str, message: Message) -> None:
-        """Carry a message, later and perhaps not at all or twice."""
+    def transfer(self, source: str, target: str, message: Message) -> None:
+        """Deliver a message after a delay; it may be lost or delivered twice."""
         self.messages += 1
         if source not in self.nodes or frozenset((source, target)) in self.cut:
             return
@@ -260,15 +273,18 @@
             asyncio.get_running_loop().call_later(delay, self._deliver, source, target, message)
 
     def offsets(self) -> dict[str, int]:
-        """Return the offset in force on each process."""
+        """Return the fold's offset of each process."""
         return {node.name: node.sync.fold.offset for node in self.nodes.values()}
 
     def all_have(self, offset: int) -> bool:
-        """Return whether every process has an offset."""
+        """Return whether every process has folded up to an offset."""
         return all(found >= offset for found in self.offsets().values())
 
     async def async_until_all_have(self, offset: int, within: float) -> float:
-        """Wait until every process has an offset; return how long it took, or fail."""
+        """Wait until every process has folded up to an offset; return the seconds it took.
+
+        Fail if it takes longer than `within` seconds.
+        """
         loop = asyncio.get_running_loop()
         start = loop.time()
         while not self.all_have(offset):
@@ -277,7 +293,7 @@
         return loop.time() - start
 
     def check_agreement(self) -> None:
-        """Check that processes at one offset hold the same, and that none has gone back."""
+        """Check that processes at the same offset are in the same state, and that no offset fell."""
         by_offset: dict[int, Any] = {}
         for node in self.nodes.values():
             snapshot = node.sync.fold.snapshot()
@@ -288,11 +304,11 @@
         node = Node(name, sync)
         self.nodes[name] = node
         node.task = asyncio.get_running_loop().create_task(sync.async_run())
-        for other in self._greeted(node):
+        for other in self._connected_nodes(node):
             sync.on_peer(other.name, other.sync.fold.offset)
             other.sync.on_peer(name, sync.fold.offset)
 
-    def _greeted(self, node: Node) -> list[Node]:
+    def _connected_nodes(self, node: Node) -> list[Node]:
         names = [*self.peers(node.name, entries=True), *self.peers(node.name, entries=False)]
         return [self.nodes[name] for name in names]
 
@@ -305,7 +321,7 @@
 
 
 class DirectSource(FoldSource):
-    """A fold that reads the log itself and has no peers."""
+    """A source for the publisher whose fold reads the log directly and has no peers."""
 
     def __init__(self, log: FakeLog) -> None:
         self.relay = ConfigRelay(ConfigFold())
@@ -317,14 +333,14 @@
         return self.relay.fold
 
     async def async_catch_up(self) -> Result[int, PlatformError]:
-        """Read to the end."""
+        """Fold the log up to its end."""
         read = await self.tail.async_read_to_end()
         return read if isinstance(read, Err) else Ok(self.fold.offset)
 
     def fold_next(self, record: LogRecord) -> None:
-        """Fold the record if it is the next."""
+        """Fold the record if its offset is the next."""
         self.tail.fold_one(record)
 
     async def async_spread(self, offset: int, wait: timedelta) -> int:
-        """There is nobody to push to."""
+        """Return 0, because there are no peers to push to."""
         return 0
--- a/tests/configs/test_config_agreement.py
+++ b/tests/configs/test_config_agreement.py
@@ -1,8 +1,9 @@
-"""Stateful test: whatever is lost, repeated, reordered or forgotten, all processes agree.
+"""Stateful test: all processes agree when messages are lost, duplicated, reordered or expire.
 
-The machine holds a log and some processes. Operators race, messages wait in a bag from which any is
-delivered, dropped or delivered again, tailers read, write checkpoints, the log forgets, processes
-are replaced at any moment. A reference fold reads every record once, in order.
+The state machine has a log and several processes. Operators publish concurrently, pending messages
+are delivered in any order, dropped or duplicated, and at any moment processes read the log, write
+checkpoints or are replaced, and the log drops its oldest records. A reference fold reads every
+record once, in order.
 """
 
 from datetime import UTC, datetime
@@ -29,17 +30,17 @@
 
 
 def weights(name: str, version: int, amends: int, schema: int = 1) -> dict[str, Any]:
-    """Return a weights record's data."""
+    """Return the data of a weights record."""
     spec = {"version": version}
     return {"kind": "weights", "name": name, "schema": schema, "amends": amends, "spec": spec}
 
 
 class Agreement(RuleBasedStateMachine):
-    """Processes that relay one log's records over a network without any promise."""
+    """Processes that relay the records of a log over a network without delivery guarantees."""
 
     @initialize()
     def start(self) -> None:
-        """Start with an empty log and empty processes."""
+        """Start the processes and a log with a few records; `MIN_INFORMED` processes read them."""
         self.log: list[LogRecord] = []
         self.first = 1
         self.model: dict[str, tuple[int, int | None]] = {"a": (FIRST_RECORDS, FIRST_RECORDS)}
@@ -54,7 +55,7 @@
             self.read_log(node, FIRST_RECORDS - node)
 
     def new_relay(self, node: int) -> ConfigRelay:
-        """Return a process that knows nothing and keeps few records."""
+        """Return a process with an empty fold that keeps few records for its peers."""
         return ConfigRelay(ConfigFold(), RECORDS_KEPT[node])
 
     def append(self, data: Any) -> None:
@@ -72,7 +73,7 @@
         delete=st.booleans(),
     )
     def publish(self, name: str, version: int, seen_by: int, schema: int, delete: bool) -> None:
-        """Amend what one process has in force, which may be long past."""
+        """Amend the revision in force on one process, which may be outdated."""
         amends = self.relays[seen_by].fold.current_revision(Kind.WEIGHTS, name)
         data = weights(name, version, amends, schema)
         self.append({**data, "spec": None} if delete else data)
@@ -82,18 +83,18 @@
 
     @rule(data=st.sampled_from([{}, {"kind": "checkpoint"}, {"kind": 7}, [], "x"]))
     def append_nonsense(self, data: Any) -> None:
-        """Append what is not ours."""
+        """Append a record that is not a valid configuration record."""
         self.append(data)
 
     @rule(node=NODES)
     def write_checkpoint(self, node: int) -> None:
-        """Append a checkpoint of a fold that may be behind."""
+        """Append a checkpoint of a fold that may not have read the whole log."""
         if self.relays[node].fold.offset:
             self.append(checkpoint_record(self.relays[node].fold, str(node))[1])
 
     @rule(node=NODES, count=st.integers(1, 6))
     def read_log(self, node: int, count: int) -> None:
-        """Read on from the log, or start from a checkpoint where it has forgotten."""
+        """Read the next records of the log, or start from a checkpoint if the log dropped some."""
         relay = self.relays[node]
         kept = self.log[self.first - 1 :]
         if self.first > relay.fold.offset + 1:
@@ -106,17 +107,17 @@
 
     @rule(by=st.integers(1, 5), far=st.integers(0, 9))
     def forget(self, by: int, far: int) -> None:
-        """Let the log forget its oldest records, now and then beyond the last checkpoint.
+        """Let the log drop its oldest records, in rare cases beyond the last checkpoint.
 
-        Beyond it starters depend on what is left in the processes; done often, that would leave
-        nothing to test.
+        After that, new processes depend on the state of the other processes. If it happened often,
+        no process would have any state left to compare.
         """
         limit = len(self.log) + 1 if far == 0 else self.reference.checkpoint.as_of + 1
         self.first = max(self.first, min(self.first + by, limit))
 
     @rule(source=NODES, dest=NODES, start=st.integers(1, 8), lose=st.booleans())
     def push(self, source: int, dest: int, start: int, lose: bool) -> None:
-        """Send a delta from anywhere, as a push or an answer that was asked for long ago."""
+        """Send a delta from any offset, as in a push or a late response to an old request."""
         self.send(source, dest, self.relays[source].delta_since(start))
         self.send(dest, source, ConfigRequest(self.relays[dest].fold.offset + 1))
         if lose:
@@ -124,7 +125,7 @@
 
     @rule(indices=st.lists(st.integers(0, 1000), min_size=3, max_size=8), keep=st.booleans())
     def deliver(self, indices: list[int], keep: bool) -> None:
-        """Deliver any messages in the bag; they may stay there to come again."""
+        """Deliver pending messages in any order; with `keep` they may be delivered again."""
         for index in indices:
             if not self.bag:
                 return
@@ -136,7 +137,7 @@
 
     @rule(node=NODES)
     def replace(self, node: int) -> None:
-        """Replace a process, unless it is the last to know anything, by one that knows nothing."""
+        """Replace a process by an empty one, unless no other process has any state."""
         if sum(relay.fold.offset > 0 for relay in self.relays) < MIN_INFORMED:
             return
         self.relays[node] = self.new_relay(node)
@@ -144,7 +145,7 @@
 
     @rule(node=NODES)
     def settle(self, node: int) -> None:
-        """Let one process exchange with the others without loss: it ends at the highest offset."""
+        """Let one process request deltas without loss; it must reach the highest offset."""
         for other in range(PROCESSES):
             for _ in range(len(self.log) + 2):
                 if self.relays[node].fold.offset >= self.relays[other].fold.offset:
@@ -157,12 +158,12 @@
         assert self.relays[node].fold.offset == highest
 
     def send(self, source: int, dest: int, message: Message) -> None:
-        """Put a message into the bag, which loses its oldest when full."""
+        """Add a message to the pending ones; the oldest is lost if there are too many."""
         self.bag.append((source, dest, message))
         del self.bag[:-BAG_SIZE]
 
     def receive(self, source: int, dest: int, message: Message) -> None:
-        """Let a process take a message and answer."""
+        """Let a process handle a message, and send its response."""
         relay = self.relays[dest]
         if isinstance(message, ConfigRequest):
             answer = relay.on_request(str(source), message)
@@ -176,14 +177,14 @@
 
     @invariant()
     def all_hold_what_the_reference_held(self) -> None:
-        """Each process holds exactly what a full fold holds at its offset."""
+        """Each process has exactly the state of a full fold at its offset."""
         for relay in getattr(self, "relays", []):
             assert relay.fold.snapshot() == self.snapshots[relay.fold.offset]
             assert relay.fold.digest_mismatches == 0
 
     @invariant()
     def first_amendment_wins(self) -> None:
-        """Of the records that amend one revision only the first good one is in force."""
+        """Of several records that amend the same revision, only the first valid one applies."""
         for name, (revision, version) in getattr(self, "model", {}).items():
             assert self.reference.current_revision(Kind.WEIGHTS, name) == revision
             found = self.reference.weights(name)
@@ -191,7 +192,7 @@
 
     @invariant()
     def none_goes_back(self) -> None:
-        """No offset in force goes down while its process lives."""
+        """No offset decreases while its process runs."""
         for node, relay in enumerate(getattr(self, "relays", [])):
             assert relay.fold.offset >= self.highest[node]
             self.highest[node] = relay.fold.offset
--- a/tests/configs/test_config_checkpoint.py
+++ b/tests/configs/test_config_checkpoint.py
@@ -1,4 +1,4 @@
-"""Checkpoints and retention: what a starter gets when the log has forgotten records in force."""
+"""Tests of checkpoints: a new process gets records in force that the log no longer keeps."""
 
 import asyncio
 from datetime import UTC, datetime, timedelta
@@ -31,11 +31,11 @@
     return fold
 
 
-def test_checkpoint_that_crossed_with_an_amendment_changes_nothing() -> None:
-    """A tailer takes its checkpoint at offset 1, and an amendment lands before it.
+def test_checkpoint_older_than_a_concurrent_amendment_changes_nothing() -> None:
+    """A checkpoint is made at offset 1, and an amendment is appended to the log before it.
 
-    What is seen: the amendment stays in force for a full fold, and for a starter that begins from
-    the checkpoint. Records carried forward one by one would bring the older value back.
+    The amendment must stay in force for a full fold and for a process that starts from the
+    checkpoint. Appending the records in force again would restore the older value.
     """
     records = [record(1, weights_data(1))]
     data = checkpoint_record(folded(records), "entry-1")[1]
@@ -51,16 +51,16 @@
     assert full.weights("samplers")[0].version == 2
 
 
-def test_starter_needs_a_checkpoint_that_reaches_back_far_enough() -> None:
-    """A checkpoint as of 1 is of no use once the log has forgotten record 2."""
+def test_checkpoint_with_a_gap_to_the_kept_records_is_not_used() -> None:
+    """A checkpoint at offset 1 cannot be used once the log has dropped record 2."""
     records = [record(1, weights_data(1))]
     data = checkpoint_record(folded(records), "entry-1")[1]
     records += [record(2, weights_data(2, 1)), record(3, data)]
     assert find_start(records[2:], first=3) is None
 
 
-def test_damaged_checkpoint_is_not_started_from() -> None:
-    """A checkpoint whose entries do not match its digest is refused, counted and passed."""
+def test_checkpoint_with_a_wrong_digest_is_rejected() -> None:
+    """A checkpoint whose entries do not match its digest is skipped at start, and rejected."""
     fold = folded([record(1, weights_data(1))])
     data = checkpoint_record(fold, "entry-1")[1]
     data["snapshot"]["entries"][0]["spec"] = {"version": 5}
@@ -69,8 +69,8 @@
     assert refused.reason is RejectReason.MALFORMED
 
 
-def test_checkpoint_of_another_fold_is_noticed() -> None:
-    """A checkpoint that is whole but differs from this process's fold is counted."""
+def test_checkpoint_that_differs_from_the_own_fold_is_counted() -> None:
+    """A valid checkpoint that differs from the fold of the process is counted, not applied."""
     other = folded([record(1, weights_data(9))])
     fold = folded([record(1, weights_data(1))])
     applied = fold.apply(record(2, checkpoint_record(other, "entry-1")[1])).unwrap()
@@ -79,8 +79,12 @@
     assert fold.weights("samplers")[0].version == 1
 
 
-def test_policy_follows_the_logs_own_times() -> None:
-    """Due at a quarter of the retention, when records pile up, and when the last one is too old."""
+def test_checkpoint_is_due_by_the_times_of_the_log() -> None:
+    """A checkpoint is due after a quarter of the retention, and earlier in two cases.
+
+    They are that many records were appended since the last one, or that the log has dropped records
+    after the last one.
+    """
     fold = folded([record(1, weights_data(1))])
     policy = CheckpointPolicy(retention=timedelta(seconds=40), max_records=3)
     assert not policy.due(ConfigFold(), 1, NOW)
@@ -95,10 +99,10 @@
 
 
 def test_record_in_force_outlives_the_logs_retention() -> None:
-    """The log keeps a minute; a record is published once and nothing else for ten.
+    """The log keeps records for 1 minute, and one record is published in 10 minutes.
 
-    What is seen: an entry that starts alone after ten minutes, with all others dead, has it. The
-    tailers wrote checkpoints long before the log could forget the last one.
+    A gateway that starts alone after 10 minutes, when all others have been killed, must have that
+    record. Without regular checkpoints the log would have dropped it.
     """
 
     async def async_case() -> None:
@@ -115,7 +119,7 @@
         cluster.check_agreement()
         cluster.close()
         assert log.first > 1
-        # 10 minutes at one per 15 s is 40; two tailers that cross now and then may add some.
+        # 10 minutes at one checkpoint per 15 s is 40; a few more if two gateways write at once.
         assert log.next - 2 <= 60
         late = cluster.add_entry("entry-late", checkpoints=POLICY)
         await cluster.async_until_all_have(log.next - 1, 4.0)
@@ -125,11 +129,11 @@
     run_virtual(async_case())
 
 
-def test_starter_without_any_checkpoint_knows_nothing() -> None:
-    """The log has forgotten the first records and holds no checkpoint; there are no peers.
+def test_process_that_cannot_read_the_dropped_records_is_not_current() -> None:
+    """The log has dropped the first record and has no checkpoint, and there are no peers.
 
-    What is seen: the entry never claims to be current. A fold of the rest alone would put in
-    force what nobody published.
+    The gateway must not report itself as current. A fold of the remaining records alone could
+    result in a configuration that nobody published.
     """
 
     async def async_case() -> None:
@@ -147,13 +151,13 @@
     run_virtual(async_case())
 
 
-def test_newer_release_takes_up_what_the_older_could_not_read(
+def test_newer_release_applies_a_record_that_the_older_could_not_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A record in schema 2 is on the log while a process of the old release writes a checkpoint.
+    """The log has a record in schema 2 when a process of the old release makes a checkpoint.
 
-    What is seen: the old release keeps schema 1 in force. A process of the new release that starts
-    from that checkpoint has the schema 2 record, as a full fold by the new release has.
+    The old release keeps the schema 1 record in force. A process of the new release that starts
+    from that checkpoint must have the schema 2 record in force, as after a full fold.
     """
     records = [
         record(1, {**service_data(), "schema": 1}),
@@ -185,8 +189,8 @@
         lambda data: data.update(checkpoint=[5, 1, ""]),
     ],
 )
-def test_nonsense_snapshot_is_refused_whole(damage: Any) -> None:
-    """A snapshot with one bad part changes nothing."""
+def test_snapshot_with_one_invalid_part_is_rejected(damage: Any) -> None:
+    """A snapshot with an invalid part must not be applied, not even in part."""
     data = folded([record(1, weights_data(1))]).snapshot()
     damage(data)
     assert ConfigFold.from_snapshot(data).is_err()
--- a/tests/configs/test_config_odd_answers.py
+++ b/tests/configs/test_config_log_errors.py
@@ -1,4 +1,4 @@
-"""A log client that raises what nobody expects."""
+"""Tests of a log client that raises an unexpected exception."""
 
 from datetime import timedelta
 
@@ -11,8 +11,8 @@
 from tests.virtual_time import run_virtual
 
 
-class OddLog(FakeLog):
-    """A log client that meets answers it was not written for, and raises."""
+class RaisingLog(FakeLog):
+    """A log client that raises an unexpected exception in its first reads."""
 
     def __init__(self, errors: int) -> None:
         super().__init__()
@@ -21,22 +21,22 @@
     async def async_read(
         self, stream: str, start: int, limit: int = 500, wait: timedelta = timedelta()
     ) -> Result[LogPage, PlatformError]:
-        """Raise what nobody expects, a few times."""
+        """Raise an unexpected exception `errors` times, then read."""
         if self.errors:
             self.errors -= 1
             raise KeyError("first")
         return await super().async_read(stream, start, limit, wait)
 
 
-def test_task_that_fails_on_an_odd_answer_goes_on() -> None:
-    """The log's client raises three times over an answer that it was not written for.
+def test_task_continues_after_an_unexpected_exception() -> None:
+    """The log client raises an unexpected exception 3 times, as on a malformed response.
 
-    What is seen: each is counted, and the entry reads on. Its task would otherwise have ended, and
-    the entry served the same configuration until somebody noticed.
+    Each one must be counted, and the gateway must continue to read. If its task ended, the gateway
+    would use an outdated configuration until somebody noticed.
     """
 
     async def async_case() -> None:
-        log = OddLog(3)
+        log = RaisingLog(3)
         log.put(service_data())
         cluster = Cluster(log)
         sync = cluster.add_entry("entry-0")
--- a/tests/configs/test_config_traces.py
+++ b/tests/configs/test_config_traces.py
@@ -1,4 +1,7 @@
-"""Replay of recorded traces: each line's outcome stands beside it as `gives`."""
+"""Replay recorded traces and compare each step with the expected result, the key `gives`.
+
+The key `do` of a step is the name of a method of the replay class.
+"""
 
 import json
 from datetime import UTC, datetime, timedelta
@@ -20,7 +23,7 @@
 
 
 class ConfigReplay:
-    """A log, a process that reads all of it, and one that only gets deltas."""
+    """A log, a process that reads all of it, one that only receives deltas, and a new one."""
 
     def __init__(self) -> None:
         self.log: list[LogRecord] = []
@@ -31,7 +34,7 @@
         self.first = 1
 
     def append(self, line: dict[str, Any]) -> str:
-        """Append a record and fold it."""
+        """Append a record, fold it, and return the verdict."""
         record = LogRecord(len(self.log) + 1, NOW, line["id"], line["data"])
         self.log.append(record)
         self.reader.fold_record(record)
@@ -40,19 +43,19 @@
         return verdict.err_value.reason.value if isinstance(verdict, Err) else "applied"
 
     def take_checkpoint(self, line: dict[str, Any]) -> None:
-        """Take a checkpoint without appending it yet."""
+        """Make a checkpoint without appending it."""
         self.checkpoint = checkpoint_record(self.reader.fold, "e")[1]
 
     def append_checkpoint(self, line: dict[str, Any]) -> str:
-        """Append the checkpoint that was taken."""
+        """Append the checkpoint made by `take_checkpoint`."""
         return self.append({"id": "checkpoint", "data": self.checkpoint})
 
     def forget(self, line: dict[str, Any]) -> None:
-        """Let the log forget what stands before an offset."""
+        """Let the log drop the records before an offset."""
         self.first = line["first"]
 
     def start_from_log(self, line: dict[str, Any]) -> bool:
-        """Start a process from what the log still keeps."""
+        """Start a process from the records that the log still keeps; return whether it could."""
         kept = self.log[self.first - 1 :]
         start = find_start(kept, self.first)
         if start is None:
@@ -64,40 +67,40 @@
         return True
 
     def agrees(self, line: dict[str, Any]) -> bool:
-        """Compare the starter with the process that read all."""
+        """Return whether the new process has the state of the one that read all records."""
         return self.starter.snapshot() == self.reader.fold.snapshot()
 
     def weights(self, line: dict[str, Any]) -> list[int] | None:
-        """Return the version in force and its revision."""
+        """Return the weight version in force and its revision."""
         found = self.reader.fold.weights(line["service"])
         return None if found is None else [found[0].version, found[1]]
 
     def delta(self, line: dict[str, Any]) -> dict[str, Any]:
-        """Bring a delta to the process that only gets deltas."""
-        taken = self.receiver.on_delta("e", self.reader.delta_since(line["start"]))
-        asks = None if taken.reply is None else taken.reply.start
-        return {"applied": taken.applied, "asks": asks, "offset": self.receiver.fold.offset}
+        """Send a delta to the process that only receives deltas."""
+        outcome = self.receiver.on_delta("e", self.reader.delta_since(line["start"]))
+        asks = None if outcome.reply is None else outcome.reply.start
+        return {"applied": outcome.applied, "asks": asks, "offset": self.receiver.fold.offset}
 
 
 class MembershipReplay:
-    """A membership view; each step gives the usable upstreams."""
+    """A view of the membership; each step returns the upstreams that may get requests."""
 
     def __init__(self) -> None:
         self.membership = Membership()
 
     def vms(self, line: dict[str, Any]) -> list[str]:
-        """Bring a VM list."""
+        """Apply a VM list."""
         rows = tuple(_row(vm_id, state) for vm_id, state in line["vms"].items())
         self.membership.apply_list(VmList(line["version"], rows))
         return self._usable()
 
     def welcome(self, line: dict[str, Any]) -> list[str]:
-        """Bring a Welcome."""
+        """Apply a Welcome message."""
         self.membership.apply_welcome(line["vm"], line["life"], line["draining"])
         return self._usable()
 
     def drain(self, line: dict[str, Any]) -> list[str]:
-        """Bring a drain notice."""
+        """Apply a drain notice."""
         self.membership.apply_drain(line["vm"], line["life"])
         return self._usable()
 
@@ -106,14 +109,14 @@
 
 
 class WeightsReplay:
-    """One engine's swaps; each step gives the order that is needed then."""
+    """The weight swaps of one engine; each step returns the order that is needed next."""
 
     def __init__(self) -> None:
         self.state = SwapState(timedelta(seconds=3))
         self.order: SwapOrder | None = None
 
     def target(self, line: dict[str, Any]) -> list[int] | None:
-        """Bring a weights record into force."""
+        """Put a weights record in force."""
         self.state.set_target(line["version"], line["fence"])
         return self._needed()
 
@@ -125,17 +128,17 @@
         return [self.order.version, self.order.fence]
 
     def failed(self, line: dict[str, Any]) -> list[int] | None:
-        """Let the order fail."""
+        """Record that the order failed."""
         self.state.on_failed(self._sent(), timedelta(seconds=line["at"]))
         return self._needed()
 
     def loaded(self, line: dict[str, Any]) -> list[int] | None:
-        """Let the engine answer the order."""
+        """Record that the engine loaded a version in response to the order."""
         self.state.on_loaded(self._sent(), line["version"], timedelta(seconds=line["at"]))
         return self._needed()
 
     def report(self, line: dict[str, Any]) -> list[int] | None:
-        """Bring a load report."""
+        """Apply a load report."""
         self.state.on_report(line["version"], line["fence"], timedelta(seconds=line["at"]))
         return self._needed()
 
@@ -158,11 +161,11 @@
 
 
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
-def test_trace_gives_the_stated_outcome(path: Path) -> None:
-    """Each step gives what stands beside it."""
+def test_trace_gives_the_expected_results(path: Path) -> None:
+    """Each step of a trace must return the result recorded with it."""
     replay = REPLAYS[path.stem.partition("_")[0]]()
     about, *lines = map(json.loads, path.read_text().splitlines())
     assert set(about) == {"about"}
     for number, line in enumerate(lines, 2):
-        given = getattr(replay, line["do"])(line)
-        assert given == line.get("gives"), f"line {number}: {line}"
+        result = getattr(replay, line["do"])(line)
+        assert result == line.get("gives"), f"line {number}: {line}"
--- a/tests/configs/test_operators.py
+++ b/tests/configs/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' endpoints, as a client of the HTTP server sees them."""
+"""Tests of the HTTP endpoints for operators, through an HTTP client."""
 
 import asyncio
 import json
@@ -27,8 +27,8 @@
 PEER = PeerStatus("side-1", "side", "samplers", "usable", True, 1, 7)
 
 
-class Answer:
-    """What came back."""
+class Response:
+    """An HTTP response with a JSON body."""
 
     def __init__(self, code: int, body: bytes, headers: Any) -> None:
         self.code = code
@@ -37,7 +37,7 @@
 
 
 class Server:
-    """The endpoints on a loopback port, and a client."""
+    """A server with the endpoints on a loopback port, and a client for it."""
 
     def __init__(self, metrics: Metrics) -> None:
         self.log = FakeLog()
@@ -60,8 +60,8 @@
 
     async def async_call(
         self, method: str, path: str, body: Any = None, token: str | None = TOKEN
-    ) -> Answer:
-        """Make one call."""
+    ) -> Response:
+        """Send a request."""
         raw = body if isinstance(body, bytes | None) else json.dumps(body).encode()
         response = await AsyncHTTPClient().fetch(
             f"http://127.0.0.1:{self.port}{path}",
@@ -70,9 +70,9 @@
             headers={"Authorization": f"Bearer {token}"} if token else {},
             raise_error=False,
         )
-        return Answer(response.code, response.body, response.headers)
+        return Response(response.code, response.body, response.headers)
 
-    async def async_post(self, data: Any) -> Answer:
+    async def async_post(self, data: Any) -> Response:
         """Publish one record."""
         return await self.async_call("POST", "/config/records", data)
 
@@ -118,68 +118,80 @@
     run(async_case)
 
 
-def test_conflict_says_what_to_do(run: Callable[[Case], Server]) -> None:
-    """The loser gets 409 with the current revision and record, told as not run, and counted."""
+def test_conflict_response_has_the_current_revision(run: Callable[[Case], Server]) -> None:
+    """The later of two amendments gets 409 with the current revision, and is counted.
+
+    The response also has the current record, and says that the request did not run.
+    """
 
     async def async_case(server: Server) -> None:
         await server.async_post(weights_data(1))
         await server.async_post(weights_data(2, 1))
-        lost = await server.async_post(weights_data(3, 1))
-        assert (lost.code, lost.data["reason"], lost.data["ran"]) == (409, "config_conflict", "no")
-        assert lost.data["current_revision"] == 2
-        assert lost.data["current"]["spec"] == {"version": 2}
-        assert "the current revision is 2" in lost.data["detail"]
-        assert lost.headers["Content-Type"] == "application/problem+json"
+        conflict = await server.async_post(weights_data(3, 1))
+        assert (conflict.code, conflict.data["reason"], conflict.data["ran"]) == (
+            409,
+            "config_conflict",
+            "no",
+        )
+        assert conflict.data["current_revision"] == 2
+        assert conflict.data["current"]["spec"] == {"version": 2}
+        assert "the current revision is 2" in conflict.data["detail"]
+        assert conflict.headers["Content-Type"] == "application/problem+json"
 
     server = run(async_case)
     assert server.metrics.value("cranberryline_refusals_total", reason="config_conflict") == 1
 
 
-def test_mistakes_are_listed(run: Callable[[Case], Server]) -> None:
-    """A record with mistakes gets 422 with each key, value and what is allowed."""
+def test_validation_errors_are_listed(run: Callable[[Case], Server]) -> None:
+    """An invalid record gets 422 with each invalid key, its value and what is allowed."""
 
     async def async_case(server: Server) -> None:
-        answer = await server.async_post(service_data(concurrency=0, leave_seconds="x"))
-        assert (answer.code, answer.data["reason"]) == (422, "config_invalid")
-        found = {row["key"]: row["value"] for row in answer.data["mistakes"]}
+        response = await server.async_post(service_data(concurrency=0, leave_seconds="x"))
+        assert (response.code, response.data["reason"]) == (422, "config_invalid")
+        found = {row["key"]: row["value"] for row in response.data["mistakes"]}
         assert found == {"spec.concurrency": 0, "spec.leave_seconds": "x"}
-        assert "an integer 1..4096" in answer.data["detail"]
+        assert "an integer 1..4096" in response.data["detail"]
 
     run(async_case)
 
 
 def test_unknown_schema_gets_422(run: Callable[[Case], Server]) -> None:
-    """A record of a newer release is refused with the versions known here."""
+    """A record of a newer release is rejected with the supported schema versions."""
 
     async def async_case(server: Server) -> None:
-        answer = await server.async_post({**weights_data(1), "schema": 5})
-        assert (answer.code, answer.data["reason"]) == (422, "config_unknown_schema")
-        assert "one of 1" in answer.data["detail"]
+        response = await server.async_post({**weights_data(1), "schema": 5})
+        assert (response.code, response.data["reason"]) == (422, "config_unknown_schema")
+        assert "one of 1" in response.data["detail"]
 
     run(async_case)
 
 
 def test_log_outage_gets_503_with_retry_after(run: Callable[[Case], Server]) -> None:
-    """While the log is out nothing is published, and the answer says when to come back."""
+    """In an outage of the log nothing is published, and the response says when to retry."""
 
     async def async_case(server: Server) -> None:
         server.log.out = True
-        answer = await server.async_post(weights_data(1))
-        assert (answer.code, answer.data["ran"]) == (503, "no")
-        assert answer.headers["Retry-After"] == "5"
+        response = await server.async_post(weights_data(1))
+        assert (response.code, response.data["ran"]) == (503, "no")
+        assert response.headers["Retry-After"] == "5"
 
     run(async_case)
 
 
-def test_lost_answers_that_stay_unknown_name_the_record_id(run: Callable[[Case], Server]) -> None:
-    """Whether it was published cannot be told; the answer names the id to repeat it with."""
+def test_response_to_an_append_of_unknown_outcome_has_the_record_id(
+    run: Callable[[Case], Server],
+) -> None:
+    """All responses of the log are lost, so it is unknown whether the record was published.
+
+    The response has the record id, with which the operator can safely repeat the request.
+    """
 
     async def async_case(server: Server) -> None:
         lost = PlatformError("cut")  # type: ignore[arg-type]
         server.log.append_errors = [lost, lost, lost]
-        answer = await server.async_post({**weights_data(1), "id": "mine"})
-        assert (answer.code, answer.data["ran"]) == (503, "unknown")
-        assert answer.data["record_id"] == "mine"
+        response = await server.async_post({**weights_data(1), "id": "mine"})
+        assert (response.code, response.data["ran"]) == (503, "unknown")
+        assert response.data["record_id"] == "mine"
         again = await server.async_post({**weights_data(1), "id": "mine"})
         assert (again.code, again.data["id"]) == (200, "mine")
 
@@ -187,22 +199,24 @@
 
 
 @pytest.mark.parametrize("body", [b"{", b"[1]", b"", b"\xff", b"[" * 100_000, b"3"])
-def test_body_that_is_no_object_gets_400(run: Callable[[Case], Server], body: bytes) -> None:
-    """Bytes that are not a JSON object are refused and change nothing."""
+def test_body_that_is_not_a_json_object_gets_400(
+    run: Callable[[Case], Server], body: bytes
+) -> None:
+    """A body that is not a JSON object is rejected, and nothing is published."""
 
     async def async_case(server: Server) -> None:
-        answer = await server.async_post(body)
-        assert (answer.code, answer.data["reason"]) == (400, "bad_json")
+        response = await server.async_post(body)
+        assert (response.code, response.data["reason"]) == (400, "bad_json")
 
     assert run(async_case).log.records == []
 
 
-def test_too_long_a_body_gets_413(run: Callable[[Case], Server]) -> None:
-    """A record has a bounded size."""
+def test_body_that_is_too_long_gets_413(run: Callable[[Case], Server]) -> None:
+    """A body above the size limit is rejected."""
 
     async def async_case(server: Server) -> None:
-        answer = await server.async_post({**weights_data(1), "author": "x" * 300_000})
-        assert answer.code == 413
+        response = await server.async_post({**weights_data(1), "author": "x" * 300_000})
+        assert response.code == 413
 
     run(async_case)
 
@@ -211,24 +225,24 @@
     ("token", "code"), [(None, 401), ("nobody-knows-this-token", 401), (CALLER_TOKEN, 403)]
 )
 @pytest.mark.parametrize("path", ["/config/records", "/status", "/config/records/a/b/history"])
-def test_endpoints_ask_for_an_operators_token(
+def test_endpoints_require_an_operator_token(
     run: Callable[[Case], Server], path: str, token: str | None, code: int
 ) -> None:
-    """Without an operator's token nothing is shown."""
+    """Without the token of an operator no configuration or status is returned."""
 
     async def async_case(server: Server) -> None:
-        answer = await server.async_call("GET", path, token=token)
-        assert answer.code == code
+        response = await server.async_call("GET", path, token=token)
+        assert response.code == code
 
     run(async_case)
 
 
-def test_publishing_asks_for_an_operators_token(run: Callable[[Case], Server]) -> None:
-    """Without an operator's token nothing is published."""
+def test_publishing_requires_an_operator_token(run: Callable[[Case], Server]) -> None:
+    """Without the token of an operator nothing is published."""
 
     async def async_case(server: Server) -> None:
-        answer = await server.async_call("POST", "/config/records", weights_data(1), CALLER_TOKEN)
-        assert answer.code == 403
+        response = await server.async_call("POST", "/config/records", weights_data(1), CALLER_TOKEN)
+        assert response.code == 403
 
     assert run(async_case).log.records == []
 
@@ -243,28 +257,28 @@
     ],
 )
 def test_unknown_names_get_404(run: Callable[[Case], Server], path: str, reason: str) -> None:
-    """An unknown kind or record is told as such."""
+    """A request for an unknown kind or record gets 404 with the reason."""
 
     async def async_case(server: Server) -> None:
-        answer = await server.async_call("GET", path)
-        assert (answer.code, answer.data["reason"]) == (404, reason)
+        response = await server.async_call("GET", path)
+        assert (response.code, response.data["reason"]) == (404, reason)
 
     run(async_case)
 
 
 def test_list_before_the_fold_is_current_gets_503(run: Callable[[Case], Server]) -> None:
-    """An entry that does not know the configuration yet does not show an empty one."""
+    """A gateway that has not read the configuration yet must not return an empty one."""
 
     async def async_case(server: Server) -> None:
         server.current = False
-        answer = await server.async_call("GET", "/config/records")
-        assert (answer.code, answer.data["reason"]) == (503, "not_ready")
+        response = await server.async_call("GET", "/config/records")
+        assert (response.code, response.data["reason"]) == (503, "not_ready")
 
     run(async_case)
 
 
-def test_status_shows_what_is_in_force_where(run: Callable[[Case], Server]) -> None:
-    """Status has the entry's offset and weights, and a row for each process it knows."""
+def test_status_has_the_configuration_in_force_and_the_peers(run: Callable[[Case], Server]) -> None:
+    """Status has the offset and weights of the gateway, and a row for each known peer."""
 
     async def async_case(server: Server) -> None:
         await server.async_post(weights_data(7))
