--- a/cranberryline/configs/checkpoint.py
+++ b/cranberryline/configs/checkpoint.py
@@ -38,20 +38,20 @@
     records.
 
     `retention` is how long the log keeps a record, `max_records` the number of records after which
-    a checkpoint is due whatever the age of the last one, and `check` the time between two checks of
-    whether one is due.
+    a checkpoint is due whatever the age of the last one, and
+    `check_interval` the time between two checks of whether one is due.
     """
 
     retention: timedelta = DEFAULT_RETENTION
     max_records: int = DEFAULT_MAX_RECORDS
-    check: timedelta = DEFAULT_CHECK_INTERVAL
+    check_interval: timedelta = DEFAULT_CHECK_INTERVAL
 
     @property
     def interval(self) -> timedelta:
         """Return the age of the last checkpoint at which the next one is due."""
         return self.retention / CHECKPOINTS_PER_RETENTION
 
-    def due(self, fold: ConfigFold, first: int, now: datetime) -> bool:
+    def is_due(self, fold: ConfigFold, first: int, now: datetime) -> bool:
         """Return whether a checkpoint is due; `first` is the oldest offset that the log keeps.
 
         The age is calculated from the timestamps of the log. If each process measured it from its
@@ -61,10 +61,10 @@
         snapshot = fold.as_snapshot()
         if not snapshot.entries:
             return False
-        mark = snapshot.mark
-        if mark.as_of + 1 < first or fold.offset - mark.offset >= self.max_records:
+        last = snapshot.last_checkpoint
+        if last.as_of + 1 < first or fold.offset - last.offset >= self.max_records:
             return True
-        since = mark.time or min(entry.time for entry in snapshot.entries)
+        since = last.time or min(entry.time for entry in snapshot.entries)
         return now - _read_time(since, now) >= self.interval
 
     def delay(self, rank: int, jitter: float) -> timedelta:
--- a/cranberryline/configs/const.py
+++ b/cranberryline/configs/const.py
@@ -44,11 +44,11 @@
 MAX_VERSION = 2**53
 
 HISTORY_LENGTH = 20  # revisions kept per record name
-VERDICTS_KEPT = 1024
-DIGESTS_KEPT = 1024
+MAX_VERDICTS_KEPT = 1024
+MAX_DIGESTS_KEPT = 1024
 MAX_UNREAD = 1000  # records kept whose schema version is not supported
 
 # Limits of one message with records for a peer, and of the records kept to answer peers from.
-DELTA_RECORDS = 256
-DELTA_BYTES = 1024 * 1024
+MAX_DELTA_RECORDS = 256
+MAX_DELTA_BYTES = 1024 * 1024
 RECORDS_KEPT = 1000
--- a/cranberryline/configs/fold.py
+++ b/cranberryline/configs/fold.py
@@ -11,25 +11,25 @@
 
 from .const import (
     ATTR_KIND,
-    DIGESTS_KEPT,
     HISTORY_LENGTH,
+    MAX_DIGESTS_KEPT,
     MAX_UNREAD,
-    VERDICTS_KEPT,
+    MAX_VERDICTS_KEPT,
 )
 from .envelope import Amendment, EnvelopeError, read_amendment, read_amendment_spec
 from .errors import Rejected, RejectReason
 from .model import CallerSpec, Kind, Revision, ServiceSpec, Spec, TrainerSpec, WeightsSpec
 from .snapshot import (
     DIGEST_BITS,
-    CheckpointMark,
+    LastCheckpoint,
     Snapshot,
     SnapshotError,
-    Unread,
-    known_reads,
+    UnreadableRecord,
     read_checkpoint,
     read_snapshot,
     revision_digest,
     snapshot_data,
+    supported_schemas,
 )
 
 __all__ = ["Applied", "ConfigFold", "Verdict"]
@@ -60,16 +60,16 @@
     def __init__(self) -> None:
         self._offset = 0
         self._entries: dict[Key, Revision] = {}
-        self._unread: OrderedDict[Key, Unread] = OrderedDict()
+        self._unread: OrderedDict[Key, UnreadableRecord] = OrderedDict()
         self._history: dict[Key, deque[Revision]] = {}
         self._verdicts: OrderedDict[int, Verdict] = OrderedDict()
         self._verdict_ids: OrderedDict[str, int] = OrderedDict()
         self._digest = 0
-        self._digests: deque[tuple[int, int]] = deque([(0, 0)], maxlen=DIGESTS_KEPT)
+        self._digests: deque[tuple[int, int]] = deque([(0, 0)], maxlen=MAX_DIGESTS_KEPT)
         self._listeners: list[Listener] = []
         self.rejections: Counter[RejectReason] = Counter()
         self.digest_mismatches = 0
-        self.checkpoint = CheckpointMark()
+        self.checkpoint = LastCheckpoint()
 
     @property
     def offset(self) -> int:
@@ -103,7 +103,7 @@
             if revision.raw is not None and kind in (None, key[0])
         ]
 
-    def unread(self) -> list[Unread]:
+    def unread(self) -> list[UnreadableRecord]:
         """Return the records that only a newer release could put in force."""
         return list(self._unread.values())
 
@@ -180,7 +180,7 @@
         """Return the whole fold, typed."""
         entries = tuple(revision for _, revision in sorted(self._entries.items()))
         unread = tuple(entry for _, entry in sorted(self._unread.items()))
-        return Snapshot(self._offset, entries, unread, known_reads(), self.checkpoint)
+        return Snapshot(self._offset, entries, unread, supported_schemas(), self.checkpoint)
 
     @classmethod
     def from_snapshot(cls, data: Any) -> Result["ConfigFold", SnapshotError]:
@@ -207,7 +207,7 @@
             ((entry.amendment.kind, entry.amendment.name), entry) for entry in snapshot.unread
         )
         self._offset = snapshot.as_of
-        self.checkpoint = snapshot.mark
+        self.checkpoint = snapshot.last_checkpoint
         self._resolve_unread()
         self._digest = sum(map(revision_digest, self._entries.values())) % 2**DIGEST_BITS
         self._digests.append((self._offset, self._digest))
@@ -279,7 +279,7 @@
             case Err(error):
                 return Err(Rejected(RejectReason.MALFORMED, record.offset, detail=error.detail))
             case Ok(checkpoint):
-                self.checkpoint = CheckpointMark(
+                self.checkpoint = LastCheckpoint(
                     checkpoint.snapshot.as_of, record.offset, record.time.isoformat()
                 )
                 matches = self._digest_matches(checkpoint.snapshot, checkpoint.digest)
@@ -288,7 +288,7 @@
 
     def _digest_matches(self, snapshot: Snapshot, digest: int) -> bool:
         # A writer of another release may have read more or fewer records than this one.
-        if snapshot.reads != known_reads():
+        if snapshot.reads != supported_schemas():
             return True
         known = next((d for offset, d in reversed(self._digests) if offset == snapshot.as_of), None)
         return known is None or known == digest
@@ -296,7 +296,9 @@
     def _keep_unread(self, record: LogRecord, amendment: Amendment) -> None:
         key = (amendment.kind, amendment.name)
         self._unread.pop(key, None)
-        self._unread[key] = Unread(record.offset, record.time.isoformat(), record.id, amendment)
+        self._unread[key] = UnreadableRecord(
+            record.offset, record.time.isoformat(), record.id, amendment
+        )
         if len(self._unread) > MAX_UNREAD:
             self._unread.popitem(last=False)
 
@@ -322,9 +324,9 @@
     def _remember_verdict(self, record: LogRecord, verdict: Verdict) -> None:
         self._verdicts[record.offset] = verdict
         self._verdict_ids.setdefault(record.id, record.offset)
-        if len(self._verdicts) > VERDICTS_KEPT:
+        if len(self._verdicts) > MAX_VERDICTS_KEPT:
             self._verdicts.popitem(last=False)
-        if len(self._verdict_ids) > VERDICTS_KEPT:
+        if len(self._verdict_ids) > MAX_VERDICTS_KEPT:
             self._verdict_ids.popitem(last=False)
 
     def _refuse(self, rejected: Rejected) -> Verdict:
--- a/cranberryline/configs/relay.py
+++ b/cranberryline/configs/relay.py
@@ -17,10 +17,10 @@
 from cranberryline.ports.model import LogRecord
 from cranberryline.transport.model import ConfigDelta, ConfigRequest, Message
 
-from .const import DELTA_BYTES, DELTA_RECORDS, RECORDS_KEPT
+from .const import MAX_DELTA_BYTES, MAX_DELTA_RECORDS, RECORDS_KEPT
 from .fold import ConfigFold
 from .snapshot import Snapshot, read_snapshot
-from .wire import safe_record, wire_size
+from .wire import encoded_size, sanitize_record
 
 __all__ = ["ConfigRelay", "DeltaTaken", "RelayPort"]
 
@@ -67,12 +67,12 @@
     def fold_record(self, record: LogRecord) -> bool:
         """Fold a record and keep it for peers; return whether the fold moved on."""
         before = self.fold.offset
-        record = safe_record(record)
+        record = sanitize_record(record)
         self.fold.apply(record)
         if self.fold.offset == before:
             return False
         self._records.append(record)
-        self._sizes.append(wire_size(record))
+        self._sizes.append(encoded_size(record))
         return True
 
     def install(self, snapshot: Snapshot) -> bool:
@@ -96,10 +96,10 @@
 
     def _stop(self, skip: int) -> int:
         size = 0
-        longest = min(len(self._records), skip + DELTA_RECORDS)
+        longest = min(len(self._records), skip + MAX_DELTA_RECORDS)
         for i in range(skip, longest):
             size += self._sizes[i]
-            if size > DELTA_BYTES and i > skip:
+            if size > MAX_DELTA_BYTES and i > skip:
                 return i
         return longest
 
--- a/cranberryline/configs/snapshot.py
+++ b/cranberryline/configs/snapshot.py
@@ -32,13 +32,13 @@
 
 __all__ = [
     "Checkpoint",
-    "CheckpointMark",
+    "LastCheckpoint",
     "Snapshot",
     "SnapshotError",
-    "Unread",
+    "UnreadableRecord",
     "checkpoint_data",
     "digest_of",
-    "known_reads",
+    "supported_schemas",
     "read_checkpoint",
     "revision_digest",
     "read_snapshot",
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class Unread:
+class UnreadableRecord:
     """A record in a schema version that this release does not support.
 
     It is kept in snapshots so that a process of a newer release can put it in force.
@@ -77,7 +77,7 @@
 
 
 @attrs.frozen
-class CheckpointMark:
+class LastCheckpoint:
     """The last checkpoint folded: the offset that it covers, its own offset, and its time."""
 
     as_of: int = 0
@@ -94,9 +94,9 @@
 
     as_of: int
     entries: tuple[Revision, ...]
-    unread: tuple[Unread, ...]
+    unread: tuple[UnreadableRecord, ...]
     reads: dict[str, list[int]]
-    mark: CheckpointMark = CheckpointMark()
+    last_checkpoint: LastCheckpoint = LastCheckpoint()
 
 
 @attrs.frozen
@@ -117,7 +117,7 @@
     detail: str
 
 
-def known_reads() -> dict[str, list[int]]:
+def supported_schemas() -> dict[str, list[int]]:
     """Return the schema versions that this release supports, by kind."""
     return {kind.value: known_schemas(kind) for kind in Kind if kind is not Kind.CHECKPOINT}
 
@@ -171,7 +171,11 @@
         ATTR_READS: snapshot.reads,
         ATTR_ENTRIES: [revision_data(revision) for revision in snapshot.entries],
         ATTR_UNREAD: unread,
-        ATTR_CHECKPOINT: [snapshot.mark.as_of, snapshot.mark.offset, snapshot.mark.time],
+        ATTR_CHECKPOINT: [
+            snapshot.last_checkpoint.as_of,
+            snapshot.last_checkpoint.offset,
+            snapshot.last_checkpoint.time,
+        ],
     }
 
 
@@ -179,7 +183,7 @@
     return isinstance(value, int) and not isinstance(value, bool) and 0 < value <= high
 
 
-def _read_row(row: Any, as_of: int) -> Result[Unread, SnapshotError]:
+def _read_row(row: Any, as_of: int) -> Result[UnreadableRecord, SnapshotError]:
     if not isinstance(row, dict):
         return Err(SnapshotError("a row is not a mapping"))
     rest = dict(row)
@@ -190,7 +194,7 @@
         case Err(error):
             return Err(SnapshotError(f"row {offset}: {error.detail}"))
         case Ok(amendment):
-            return Ok(Unread(offset, time, id_, amendment))
+            return Ok(UnreadableRecord(offset, time, id_, amendment))
 
 
 def _read_revision(row: Any, as_of: int) -> Result[Revision, SnapshotError]:
@@ -206,10 +210,10 @@
             return Ok(unread.as_revision(spec))
 
 
-def _read_last_checkpoint(value: Any) -> CheckpointMark | None:
+def _read_last_checkpoint(value: Any) -> LastCheckpoint | None:
     match value:
         case [int() as as_of, int() as offset, str() as time] if 0 <= as_of <= offset:
-            return CheckpointMark(as_of, offset, time)
+            return LastCheckpoint(as_of, offset, time)
         case _:
             return None
 
@@ -235,18 +239,18 @@
         if isinstance(revision, Err):
             return revision
         entries.append(revision.ok_value)
-    unread: list[Unread] = []
+    unread: list[UnreadableRecord] = []
     for row in unread_rows:
         record = _read_row(row, as_of)
         if isinstance(record, Err):
             return record
         unread.append(record.ok_value)
-    mark = _read_last_checkpoint(data.get(ATTR_CHECKPOINT))
-    if mark is None:
+    last_checkpoint = _read_last_checkpoint(data.get(ATTR_CHECKPOINT))
+    if last_checkpoint is None:
         return Err(SnapshotError("the position of the last checkpoint is not valid"))
     if len({(entry.kind, entry.name) for entry in entries}) != len(entries):
         return Err(SnapshotError("two entries have the same kind and name"))
-    return Ok(Snapshot(as_of, tuple(entries), tuple(unread), reads, mark))
+    return Ok(Snapshot(as_of, tuple(entries), tuple(unread), reads, last_checkpoint))
 
 
 def checkpoint_data(snapshot: Snapshot) -> dict[str, Any]:
--- a/cranberryline/configs/tail.py
+++ b/cranberryline/configs/tail.py
@@ -13,7 +13,7 @@
 from .const import CONFIG_STREAM
 from .errors import Rejected
 from .relay import ConfigRelay
-from .wire import safe_record
+from .wire import sanitize_record
 
 __all__ = ["LogTail", "PageTaken"]
 
@@ -112,4 +112,4 @@
 
 
 def _safe(page: LogPage) -> LogPage:
-    return attrs.evolve(page, records=tuple(map(safe_record, page.records)))
+    return attrs.evolve(page, records=tuple(map(sanitize_record, page.records)))
--- a/cranberryline/configs/wire.py
+++ b/cranberryline/configs/wire.py
@@ -11,7 +11,7 @@
 from .const import ATTR_KIND
 from .model import Kind
 
-__all__ = ["safe_record", "wire_size"]
+__all__ = ["sanitize_record", "encoded_size"]
 
 MAX_DEPTH = 24
 MAX_ID_LENGTH = 200
@@ -22,7 +22,7 @@
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-def safe_record(record: LogRecord) -> LogRecord:
+def sanitize_record(record: LogRecord) -> LogRecord:
     """Return the record, with empty data or a generated id if it could not be sent to a peer.
 
     The log accepts any JSON. A record with an integer beyond 64 bits, a lone surrogate, a list in
@@ -38,10 +38,10 @@
     return attrs.evolve(record, id=record_id, data=data)
 
 
-def wire_size(record: LogRecord) -> int:
+def encoded_size(record: LogRecord) -> int:
     """Return the approximate size in bytes of a record in a message.
 
-    The record must have been returned by `safe_record`.
+    The record must have been returned by `sanitize_record`.
     """
     return len(_ENCODER.encode(record.data))
 
--- a/cranberryline/entry/config_sync.py
+++ b/cranberryline/entry/config_sync.py
@@ -378,7 +378,7 @@
 
     async def _async_checkpoints(self) -> None:
         while True:
-            await self._clock.async_sleep(self._checkpoints.check)
+            await self._clock.async_sleep(self._checkpoints.check_interval)
             if not self.current or not self.tailing or not self._checkpoint_due():
                 continue
             delay = self._checkpoints.delay(self._ranking.rank(), random.random())
@@ -387,7 +387,7 @@
                 await self._async_checkpoint()
 
     def _checkpoint_due(self) -> bool:
-        return self._checkpoints.due(self.fold, self._tail.first_kept, self._clock.now())
+        return self._checkpoints.is_due(self.fold, self._tail.first_kept, self._clock.now())
 
     async def _async_checkpoint(self) -> None:
         record = checkpoint_record(self.fold, self._vm_id)
--- a/tests/configs/config_fakes.py
+++ b/tests/configs/config_fakes.py
@@ -42,16 +42,16 @@
 class FakeLog(LogPort):
     """A log in memory with outages, lost responses, read latency and retention.
 
-    `first` is the oldest offset that it keeps. While `out` is set, each call fails as in an outage.
-    The next `lose_answers` appends take effect, but their responses are lost. The next appends fail
-    with `append_errors`, in order.
+    `first` is the oldest offset that it keeps. While `in_outage` is set, each call fails as in an
+    outage. The next `lose_answers` appends take effect, but their responses are lost. The next
+    appends fail with `append_errors`, in order.
     """
 
     def __init__(self) -> None:
         self.clock = LoopClock()
         self.records: list[LogRecord] = []
         self.first = 1
-        self.out = False
+        self.in_outage = False
         self.latency = 0.002
         self.lose_answers = 0
         self.append_errors: list[PlatformError] = []
@@ -89,7 +89,7 @@
         """Append, or fail in an outage; return an error in place of a response that is lost."""
         self.appends += 1
         await asyncio.sleep(0.002)
-        if self.out:
+        if self.in_outage:
             return Err(OUTAGE)
         if self.append_errors:
             return Err(self.append_errors.pop(0))
@@ -105,7 +105,7 @@
         """Read a page; with `wait`, wait up to that long for the first record."""
         self.reads += 1
         await asyncio.sleep(self.latency)
-        if self.out:
+        if self.in_outage:
             return Err(OUTAGE)
         if wait and self.next <= start:
             try:
@@ -113,7 +113,7 @@
                     await self._grown.wait_for(lambda: self.next > start)
             except TimeoutError:
                 pass
-        if self.out:
+        if self.in_outage:
             return Err(OUTAGE)
         start = max(start, self.first)
         rows = [record for record in self.records if record.offset >= start][:limit]
@@ -186,8 +186,8 @@
     """Gateways and side processes, connected by a network that may lose messages.
 
     `loss` and `repeat` are the probabilities that a message is lost or delivered twice, `max_delay`
-    its largest delay in seconds, `cut` the pairs of nodes whose connection transfers nothing, and
-    `listed` the gateways in the VM list.
+    its largest delay in seconds, `cut_connections` the pairs of nodes whose connection transfers
+    nothing, and `listed` the gateways in the VM list.
     """
 
     def __init__(self, log: FakeLog, seed: int = 1) -> None:
@@ -197,7 +197,7 @@
         self.loss = 0.0
         self.repeat = 0.0
         self.max_delay = 0.003
-        self.cut: set[frozenset[str]] = set()
+        self.cut_connections: set[frozenset[str]] = set()
         self.listed: list[str] = []
         self.metrics: dict[str, Metrics] = {}
         self.messages = 0
@@ -262,7 +262,7 @@
     def transfer(self, source: str, target: str, message: Message) -> None:
         """Deliver a message after a delay; it may be lost or delivered twice."""
         self.messages += 1
-        if source not in self.nodes or frozenset((source, target)) in self.cut:
+        if source not in self.nodes or frozenset((source, target)) in self.cut_connections:
             return
         if self._rng.random() < self.loss:
             return
@@ -293,7 +293,7 @@
         return loop.time() - start
 
     def check_agreement(self) -> None:
-        """Check that processes at the same offset are in the same state, and that no offset fell."""
+        """Check that processes at the same offset have the same state, and that no offset fell."""
         by_offset: dict[int, Any] = {}
         for node in self.nodes.values():
             snapshot = node.sync.fold.snapshot()
--- a/tests/configs/test_config_checkpoint.py
+++ b/tests/configs/test_config_checkpoint.py
@@ -15,7 +15,7 @@
 from tests.virtual_time import run_virtual
 
 NOW = datetime(2026, 1, 1, tzinfo=UTC)
-POLICY = CheckpointPolicy(retention=timedelta(seconds=60), check=timedelta(seconds=1))
+POLICY = CheckpointPolicy(retention=timedelta(seconds=60), check_interval=timedelta(seconds=1))
 
 
 def record(offset: int, data: Any, time: datetime = NOW) -> LogRecord:
@@ -87,15 +87,15 @@
     """
     fold = folded([record(1, weights_data(1))])
     policy = CheckpointPolicy(retention=timedelta(seconds=40), max_records=3)
-    assert not policy.due(ConfigFold(), 1, NOW)
-    assert not policy.due(fold, 1, NOW + timedelta(seconds=9))
-    assert policy.due(fold, 1, NOW + timedelta(seconds=10))
+    assert not policy.is_due(ConfigFold(), 1, NOW)
+    assert not policy.is_due(fold, 1, NOW + timedelta(seconds=9))
+    assert policy.is_due(fold, 1, NOW + timedelta(seconds=10))
     fold.apply(record(2, checkpoint_record(fold, "e")[1], NOW + timedelta(seconds=10)))
-    assert not policy.due(fold, 1, NOW + timedelta(seconds=11))
-    assert policy.due(fold, 3, NOW + timedelta(seconds=11))
+    assert not policy.is_due(fold, 1, NOW + timedelta(seconds=11))
+    assert policy.is_due(fold, 3, NOW + timedelta(seconds=11))
     for offset in (3, 4, 5):
         fold.apply(record(offset, weights_data(offset, 0)))
-    assert policy.due(fold, 1, NOW + timedelta(seconds=11))
+    assert policy.is_due(fold, 1, NOW + timedelta(seconds=11))
 
 
 def test_record_in_force_outlives_the_logs_retention() -> None:
--- a/tests/configs/test_config_publish.py
+++ b/tests/configs/test_config_publish.py
@@ -149,7 +149,7 @@
 
 def test_log_out_before_anything_was_sent(log: FakeLog) -> None:
     """The operator is told that nothing was published, and when to come back."""
-    log.out = True
+    log.in_outage = True
     refused = publish(log, weights_data(2, 1)).unwrap_err()
     assert (refused.reason, refused.ran) == (PublishReason.LOG_UNAVAILABLE, Ran.NO)
     assert refused.retry_after is not None
@@ -189,7 +189,7 @@
             self, stream: str, records: list[tuple[str, dict[str, Any]]]
         ) -> Result[list[int], PlatformError]:
             answer = await super().async_append(stream, records)
-            self.out = True
+            self.in_outage = True
             return answer
 
     async def async_case() -> Outcome:
--- a/tests/configs/test_config_sync.py
+++ b/tests/configs/test_config_sync.py
@@ -103,7 +103,7 @@
         answer = await publisher(cluster, name).async_publish(weights_data(7), "p1")
         assert isinstance(answer, Ok)
         assert answer.ok_value.confirmed_by >= 2
-        cluster.log.out = True
+        cluster.log.in_outage = True
         cluster.kill(name)
         await cluster.async_until_all_have(answer.ok_value.revision.offset, BOUND)
         cluster.check_agreement()
@@ -121,7 +121,7 @@
         self, stream: str, records: list[tuple[str, dict[str, Any]]]
     ) -> Result[list[int], PlatformError]:
         """Append, and be out before any reader is woken."""
-        self.out = self.failing
+        self.in_outage = self.failing
         return Ok([self.put(data, record_id) for record_id, data in records])
 
 
@@ -139,7 +139,7 @@
         answer = await publisher(cluster, ranked()[0]).async_publish(weights_data(7), "p1")
         cluster.kill(ranked()[0])
         assert isinstance(answer, Ok)
-        assert log.out
+        assert log.in_outage
         await cluster.async_until_all_have(answer.ok_value.revision.offset, BOUND)
         cluster.close()
 
@@ -174,10 +174,10 @@
         cluster.add_side("side-0")
         await cluster.async_until_all_have(1, 2.0)
         await asyncio.sleep(3)
-        cluster.cut = {frozenset(("entry-0", "side-0"))}
+        cluster.cut_connections = {frozenset(("entry-0", "side-0"))}
         offset = await log.async_put(weights_data(7))
         await asyncio.sleep(0.6)
-        cluster.cut = set()
+        cluster.cut_connections = set()
         await cluster.async_until_all_have(offset, BOUND)
         await asyncio.sleep(30)
         before = cluster.messages
@@ -223,7 +223,7 @@
         cluster = await async_start(FakeLog())
         offset = await cluster.log.async_put(weights_data(7))
         await cluster.async_until_all_have(offset, BOUND)
-        cluster.log.out = True
+        cluster.log.in_outage = True
         entry = cluster.add_entry("entry-new")
         side = cluster.add_side("side-new")
         await cluster.async_until_all_have(offset, BOUND)
@@ -246,7 +246,7 @@
         cluster = await async_start(FakeLog())
         offset = await cluster.log.async_put(weights_data(7))
         await cluster.async_until_all_have(offset, BOUND)
-        cluster.log.out = True
+        cluster.log.in_outage = True
         for name in ENTRIES:
             cluster.kill(name, listed=False)
         first, second = cluster.add_entry("entry-a"), cluster.add_entry("entry-b")
@@ -269,13 +269,13 @@
     async def async_case() -> None:
         log = FakeLog()
         log.put(service_data())
-        log.out = True
+        log.in_outage = True
         cluster = Cluster(log)
         syncs = [cluster.add_entry(name) for name in ENTRIES[:3]]
         syncs += [cluster.add_side(name) for name in SIDES[:2]]
         await asyncio.sleep(10)
         assert not any(sync.current for sync in syncs)
-        log.out = False
+        log.in_outage = False
         await cluster.async_until_all_have(1, BOUND)
         async with asyncio.timeout(1.0):
             for sync in syncs:
@@ -341,12 +341,12 @@
         cluster = await async_start(FakeLog())
         name = ranked()[5]
         others = [other for other in [*ENTRIES, *SIDES] if other != name]
-        cluster.cut = {frozenset((name, other)) for other in others}
+        cluster.cut_connections = {frozenset((name, other)) for other in others}
         amends = 0
         for version in range(1, 6):
             amends = await cluster.log.async_put(weights_data(version, amends))
         old = cluster.nodes[others[0]].sync.relay.delta_since(1)
-        cluster.cut = set()
+        cluster.cut_connections = set()
         await cluster.async_until_all_have(amends, BOUND)
         cluster.nodes[name].sync.on_message(others[0], old)
         cluster.check_agreement()
--- a/tests/configs/test_operators.py
+++ b/tests/configs/test_operators.py
@@ -170,7 +170,7 @@
     """In an outage of the log nothing is published, and the response says when to retry."""
 
     async def async_case(server: Server) -> None:
-        server.log.out = True
+        server.log.in_outage = True
         response = await server.async_post(weights_data(1))
         assert (response.code, response.data["ran"]) == (503, "no")
         assert response.headers["Retry-After"] == "5"
--- a/tests/weights/test_weights_controller.py
+++ b/tests/weights/test_weights_controller.py
@@ -278,11 +278,14 @@
         await asyncio.sleep(1)
         offset = await harness.async_publish(7)
         await harness.cluster.async_until_all_have(offset, 2.0)
-        harness.cluster.cut = {frozenset(("entry-0", "side-0")), frozenset(("entry-1", "side-0"))}
+        harness.cluster.cut_connections = {
+            frozenset(("entry-0", "side-0")),
+            frozenset(("entry-1", "side-0")),
+        }
         await harness.async_publish(8, offset)
         await asyncio.sleep(20)
         assert harness.engine.orders == []
-        harness.cluster.cut = set()
+        harness.cluster.cut_connections = set()
         await harness.async_until_serving(8, 10.0)
         assert [order[0] for order in harness.engine.orders] == [8]
         harness.close()
@@ -306,12 +309,12 @@
             answer = await confirm(wait)
             if isinstance(answer, Ok) and not pauses:
                 pauses.append(True)
-                harness.cluster.cut = {
+                harness.cluster.cut_connections = {
                     frozenset((name, "side-0")) for name in ("entry-0", "entry-1")
                 }
                 await harness.async_publish(8, offset)
                 await asyncio.sleep(60)
-                harness.cluster.cut = set()
+                harness.cluster.cut_connections = set()
             return answer
 
         harness.side.async_confirm = async_confirm  # type: ignore[method-assign]
@@ -338,7 +341,10 @@
         before = harness.cluster.clock.monotonic()
         confirmed = await side.async_confirm(timedelta(seconds=1))
         assert confirmed.unwrap() - before < timedelta(seconds=0.2)
-        harness.cluster.cut = {frozenset(("entry-0", "side-0")), frozenset(("entry-1", "side-0"))}
+        harness.cluster.cut_connections = {
+            frozenset(("entry-0", "side-0")),
+            frozenset(("entry-1", "side-0")),
+        }
         asked = asyncio.create_task(side.async_confirm(timedelta(seconds=60)))
         await asyncio.sleep(30)
         side.on_message("entry-0", harness.cluster.nodes["entry-0"].sync.relay.delta_since(99))
