--- a/cranberryline/configs/model.py
+++ b/cranberryline/configs/model.py
@@ -61,8 +61,8 @@
     """A service: its type, its limits, and how its replicas are moved to new weights.
 
     `model` is required for the type engine. `concurrency` is the number of requests that run at
-    once. `swap_fraction` is the largest fraction of replicas that load new weights at once, and
-    `fetches_per_second` the rate at which the store of the weights can be read.
+    once on each upstream. `swap_fraction` is the largest fraction of replicas that load new weights
+    at once, and `fetches_per_second` the rate at which the store of the weights can be read.
     """
 
     type: ServiceType
