--- a/cranberryline/entry/operators.py
+++ b/cranberryline/entry/operators.py
@@ -1,4 +1,4 @@
-"""The operators' endpoints: publish records, look at them, see what is in force where."""
+"""HTTP endpoints for operators: publish and list configuration records, and show the status."""
 
 import json
 import uuid
@@ -34,23 +34,23 @@
 REASON_UNKNOWN_RECORD = "unknown_record"
 HEADER_AUTHORIZATION = "Authorization"
 
-STATUS_OF = {
+STATUS_BY_REASON = {
     PublishReason.CONFLICT: 409,
     PublishReason.INVALID: 422,
     PublishReason.UNKNOWN_SCHEMA: 422,
     PublishReason.LOG_UNAVAILABLE: 503,
 }
-TITLE_OF = {
-    PublishReason.CONFLICT: "the record was amended in the meantime",
-    PublishReason.INVALID: "the record has mistakes",
-    PublishReason.UNKNOWN_SCHEMA: "the record's schema version is not known here",
+TITLE_BY_REASON = {
+    PublishReason.CONFLICT: "the record has a newer revision",
+    PublishReason.INVALID: "the record is not valid",
+    PublishReason.UNKNOWN_SCHEMA: "the record's schema version is not supported by this release",
     PublishReason.LOG_UNAVAILABLE: "the log service did not confirm the record",
 }
 
 
 @attrs.frozen
 class PeerStatus:
-    """What this entry knows of another process."""
+    """The status of another process, as last seen by this entry."""
 
     id: str
     role: str
@@ -61,16 +61,17 @@
     weight_version: int | None
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the row as JSON data."""
+        """Return the status as JSON data."""
         return attrs.asdict(self)
 
 
 @attrs.frozen
 class OperatorContext:
-    """What the operators' endpoints need.
+    """The dependencies of the operators' endpoints.
 
-    `peers` tells of the processes that this entry knows. `tokens` None leaves the endpoints open,
-    for tests of this module only.
+    `current` returns whether the configuration has been loaded and is up to date. `peers` returns
+    the status of every other process in the VM list. `tokens` is None only in tests of this
+    module; the endpoints then require no authentication.
     """
 
     vm_id: str
@@ -83,15 +84,15 @@
 
 
 class _OperatorHandler(ProblemHandler):
-    """Check the token, and write answers and refusals as JSON."""
+    """Base handler that authenticates operators and writes JSON responses."""
 
     def initialize(self, context: OperatorContext) -> None:
-        """Take what the endpoints need."""
+        """Store the dependencies of the endpoints."""
         self._context = context
-        self._who = ""
+        self._operator_name = ""
 
     def prepare(self) -> None:
-        """Refuse whoever has no operator's token."""
+        """Reject a request without a valid operator token."""
         if self._context.tokens is None:
             return
         checked = self._context.tokens.check(
@@ -99,42 +100,42 @@
         )
         if isinstance(checked, Err):
             refusal = checked.err_value
-            self.refuse(refusal.status, refusal.value, "an operator's token is needed")
+            self.refuse(refusal.status, refusal.value, "an operator token is required")
             return
-        self._who = checked.ok_value
+        self._operator_name = checked.ok_value
 
-    def refuse(self, status: int, reason: str, title: str, **more: Any) -> None:
-        """Refuse with a problem, counted."""
+    def refuse(self, status: int, reason: str, title: str, **extra: Any) -> None:
+        """Respond with a problem and count it in the metrics."""
         self._context.metrics.refuse(reason)
-        write_problem(self, status, reason, title, **more)
+        write_problem(self, status, reason, title, **extra)
 
     def read_kind(self, value: str) -> Kind | None:
-        """Return a record kind, or refuse."""
+        """Return the record kind, or respond 404 and return None."""
         kinds = [kind for kind in Kind if kind is not Kind.CHECKPOINT]
         if value in [kind.value for kind in kinds]:
             return Kind(value)
         self.refuse(
             404,
             REASON_UNKNOWN_KIND,
-            "there is no such kind of record",
+            "unknown record kind",
             detail="known kinds: " + ", ".join(kind.value for kind in kinds),
         )
         return None
 
 
 class RecordsHandler(_OperatorHandler):
-    """Publish a record, and list those in force."""
+    """Publishes a record and lists the current ones."""
 
     async def post(self) -> None:
-        """Publish one record."""
+        """Publish one record, authored by the authenticated operator."""
         data = self._read_body()
         if data is None:
             return
         record_id = data.pop(ATTR_ID, None)
         if record_id is None:
             record_id = uuid.uuid4().hex
-        if self._who:
-            data["author"] = self._who
+        if self._operator_name:
+            data["author"] = self._operator_name
         match await self._context.publisher.async_publish(data, record_id):
             case Ok(accepted):
                 self.finish(_accepted_data(accepted))
@@ -142,9 +143,9 @@
                 self._refuse_publication(refused)
 
     def get(self) -> None:
-        """List the records in force, of one kind or all."""
+        """List the current records, optionally of one kind only."""
         if not self._context.current():
-            self.refuse(503, REASON_NOT_READY, "the configuration is not known yet")
+            self.refuse(503, REASON_NOT_READY, "the configuration has not been loaded yet")
             return
         wanted = self.get_query_argument(ARG_KIND, "")
         kind = self.read_kind(wanted) if wanted else None
@@ -156,7 +157,7 @@
 
     def _read_body(self) -> dict[str, Any] | None:
         if len(self.request.body) > MAX_BODY_BYTES:
-            self.refuse(413, "body_too_large", f"a record has at most {MAX_BODY_BYTES} bytes")
+            self.refuse(413, "body_too_large", f"a record must not exceed {MAX_BODY_BYTES} bytes")
             return None
         try:
             data = json.loads(self.request.body)
@@ -171,12 +172,12 @@
     def _refuse_publication(self, refused: PublishRefused) -> None:
         current = None if refused.current is None else refused.current.as_dict()
         self.refuse(
-            STATUS_OF[refused.reason],
+            STATUS_BY_REASON[refused.reason],
             refused.reason.value,
-            TITLE_OF[refused.reason],
+            TITLE_BY_REASON[refused.reason],
             ran=refused.ran.value,
             retry_after=refused.retry_after,
-            detail=_detail(refused),
+            detail=_refusal_detail(refused),
             record_id=refused.record_id,
             current=current,
             current_revision=refused.current_revision,
@@ -185,28 +186,28 @@
 
 
 class HistoryHandler(_OperatorHandler):
-    """Show the accepted revisions of one record."""
+    """Shows the accepted revisions of one record."""
 
     def get(self, kind: str, name: str) -> None:
-        """List what this entry has seen, oldest first."""
-        known = self.read_kind(kind)
-        if known is None:
+        """List the revisions that this entry has read, oldest first."""
+        record_kind = self.read_kind(kind)
+        if record_kind is None:
             return
         fold = self._context.fold
-        rows = [revision.as_dict() for revision in fold.history(known, name)]
+        rows = [revision.as_dict() for revision in fold.history(record_kind, name)]
         if not rows:
-            self.refuse(404, REASON_UNKNOWN_RECORD, f"no record {kind}/{name} was seen here")
+            self.refuse(404, REASON_UNKNOWN_RECORD, f"this entry has read no record {kind}/{name}")
             return
-        self.finish({"current_revision": fold.current_revision(known, name), "records": rows})
+        self.finish({"current_revision": fold.current_revision(record_kind, name), "records": rows})
 
 
 class StatusHandler(_OperatorHandler):
-    """Show what is in force where, as this entry knows it."""
+    """Shows the configuration and weight versions of each process, as seen by this entry."""
 
     def get(self) -> None:
-        """List this entry and every process it knows."""
+        """Return the status of this entry and of all its peers."""
         fold = self._context.fold
-        unread = [
+        unsupported = [
             {"kind": u.amendment.kind.value, "name": u.amendment.name, "offset": u.offset}
             for u in fold.unread()
         ]
@@ -219,7 +220,7 @@
                 "weights": _weights_data(fold),
                 "peers": [peer.as_dict() for peer in self._context.peers()],
                 "refused_records": {r.value: n for r, n in fold.rejections.items()},
-                "waiting_for_newer_release": unread,
+                "waiting_for_newer_release": unsupported,
             }
         )
 
@@ -239,17 +240,17 @@
 
 
 def _weights_data(fold: ConfigFold) -> dict[str, dict[str, int]]:
-    shown = {}
+    versions = {}
     for revision in fold.records(Kind.WEIGHTS):
         found = fold.weights(revision.name)
         if found is not None:
-            shown[revision.name] = {"version": found[0].version, "revision": found[1]}
-    return shown
+            versions[revision.name] = {"version": found[0].version, "revision": found[1]}
+    return versions
 
 
-def _detail(refused: PublishRefused) -> str:
-    """Return what was wrong and what to do, in one text for people."""
-    parts = [_sentence(mistake) for mistake in refused.mistakes]
+def _refusal_detail(refused: PublishRefused) -> str:
+    """Return the errors and the advice as one human-readable text."""
+    parts = [_mistake_text(mistake) for mistake in refused.mistakes]
     if refused.reason is PublishReason.CONFLICT:
         parts.append(f"the current revision is {refused.current_revision}")
     if refused.ran is Ran.UNKNOWN:
@@ -257,5 +258,5 @@
     return "; ".join([*parts, refused.advice])
 
 
-def _sentence(mistake: Mistake) -> str:
+def _mistake_text(mistake: Mistake) -> str:
     return f"{mistake.key} is {mistake.value!r}, allowed: {mistake.allowed}"
--- a/cranberryline/entry/proxy.py
+++ b/cranberryline/entry/proxy.py
@@ -31,23 +31,24 @@
 
 HEADER_PRIORITY = "X-Priority"
 HEADER_DEADLINE = "X-Deadline-Ms"
-HEADER_KEY = "Idempotency-Key"
+HEADER_IDEMPOTENCY_KEY = "Idempotency-Key"
 HEADER_IDEMPOTENT = "X-Idempotent"
 HEADER_AUTHORIZATION = "Authorization"
 HEADER_CALLER = "X-Caller"
 HEADER_REQUEST_ID = "X-Request-Id"
 
 DEFAULT_MAX_TOKENS = 256
-# A prompt's leading part decides which engine has it cached; group members share all of it.
+# Requests whose prompts share this many leading characters go to the engine that has that prefix
+# in its cache. The samples of one group share the whole prompt.
 PREFIX_CHARS = 256
-CHARS_PER_TOKEN = 4
+CHARS_PER_TOKEN = 4  # estimates the length of a prompt in tokens
 _MAX_DEADLINE_DIGITS = 9
 _MAX_KEY_CHARS = 255
-_SEGMENTS_BEFORE_PATH = 3
-_NOT_READY_RETRY = timedelta(seconds=1)
+_SLASHES_BEFORE_PATH = 3
+_NOT_READY_RETRY_AFTER = timedelta(seconds=1)
 
 _IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
-# Hop-by-hop headers belong to one connection, ours belong to the entry.
+# Hop-by-hop headers apply to one connection only; the other ones are addressed to the entry.
 _DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {
     "host",
     HEADER_PRIORITY.lower(),
@@ -58,7 +59,10 @@
 
 @attrs.define
 class ProxyContext:
-    """What the handlers of callers share."""
+    """The dependencies shared by the handlers of callers.
+
+    `ready` returns whether the configuration has been loaded and is up to date.
+    """
 
     clock: Clock
     metrics: Metrics
@@ -70,13 +74,13 @@
 
 
 class _HandlerSink(ResponseSink):
-    """Write an answer to the caller as it arrives."""
+    """Streams the upstream's response to the caller."""
 
     def __init__(self, handler: "_CallerHandler") -> None:
         self._handler = handler
 
     async def async_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> bool:
-        """Set the status and headers; they leave with the first part of the body."""
+        """Set the status and headers, which are sent together with the first chunk of the body."""
         self._handler.clear()
         self._handler.set_status(status)
         for name, value in headers:
@@ -85,7 +89,7 @@
         return False
 
     async def async_chunk(self, data: bytes, last: bool = False) -> None:
-        """Write a part of the body and wait until the caller has taken it."""
+        """Write a chunk of the body; wait for the socket unless it is the last chunk."""
         try:
             self._handler.write(data)
             if not last:
@@ -95,51 +99,54 @@
 
 
 class _CallerHandler(ProblemHandler):
-    """What plain services and engines have in common."""
+    """Base handler for requests to plain services and to engines."""
 
     kind = "service"
-    _ids = itertools.count()
-    _process = uuid.uuid4().hex[:8]
+    _request_numbers = itertools.count()
+    _process_id = uuid.uuid4().hex[:8]
 
     def initialize(self, context: ProxyContext) -> None:
-        """Take the shared context."""
+        """Store the shared dependencies."""
         self.context = context
 
     def prepare(self) -> None:
-        """Name the request."""
-        given = self.request.headers.get(HEADER_REQUEST_ID, "")
-        self.request_id = given[:64] or f"{self._process}-{next(self._ids)}"
-        self._work: asyncio.Task[Any] | None = None
-        self._dropped = _DROPPED_HEADERS
-        self._began = self.context.clock.monotonic()
+        """Identify the request and its caller; reject it if the entry is not ready."""
+        given_id = self.request.headers.get(HEADER_REQUEST_ID, "")
+        self.request_id = given_id[:64] or f"{self._process_id}-{next(self._request_numbers)}"
+        self._task: asyncio.Task[Any] | None = None
+        self._dropped_headers = _DROPPED_HEADERS
+        self._started_at = self.context.clock.monotonic()
         self.caller = self._identify()
         self.context.metrics.requests.labels(self.kind).inc()
         break_off_if_closed(self)
-        # Without the configuration every service would look unknown, and a 404 is final.
+        # Without the configuration every service is unknown, and callers do not retry a 404.
         if not self._finished and not self.context.ready():
-            self.refuse(Refusal(RefusalReason.NOT_READY, retry_after=_NOT_READY_RETRY))
+            self.refuse(Refusal(RefusalReason.NOT_READY, retry_after=_NOT_READY_RETRY_AFTER))
 
     def clear(self) -> None:
-        """Start an answer without headers: all of them are the upstream's or a refusal's."""
+        """Reset the response without tornado's default headers.
+
+        All headers come from the upstream or from the problem response.
+        """
         self._headers = HTTPHeaders()
         self._write_buffer = []
         self._status_code = HTTPStatus.OK
         self._reason = HTTPStatus.OK.phrase
 
     def on_connection_close(self) -> None:
-        """Stop working for a caller that has gone."""
-        if self._work is not None:
-            self._work.cancel()
+        """Cancel the request of a caller that has disconnected."""
+        if self._task is not None:
+            self._task.cancel()
 
     def compute_etag(self) -> None:
-        """Leave entity tags to the upstream."""
+        """Add no entity tag; only the upstream sets one."""
         return
 
     def refuse(self, refusal: Refusal) -> None:
-        """End with a refusal, or cut the connection when a part of an answer has left."""
+        """Respond with a problem, or close the connection if a response has been partly sent."""
         ctx = self.context
-        counted = ctx.metrics.refuse if refusal.ran is Ran.NO else ctx.metrics.fail
-        counted(refusal.reason.value)
+        count = ctx.metrics.refuse if refusal.ran is Ran.NO else ctx.metrics.fail
+        count(refusal.reason.value)
         self.context.log.info(
             "request_refused",
             request_id=self.request_id,
@@ -149,7 +156,7 @@
             detail=refusal.detail,
         )
         if self._headers_written or refusal.response_started:
-            # The status has left: a tidy end would make a part look like the whole.
+            # The status has been sent: a regular end would make the truncated body look complete.
             break_off(self)
             return
         write_problem(
@@ -163,7 +170,7 @@
         )
 
     async def async_serve(self, req: CallerRequest) -> None:
-        """Run a request and write its answer."""
+        """Dispatch a request and write its response."""
         sink = _HandlerSink(self)
         result = await self.context.dispatcher.async_run(req, sink)
         if result.is_err():
@@ -171,21 +178,25 @@
             return
         self.context.metrics.answers.labels(self.kind).inc()
         await self.finish()
-        took = self.context.clock.monotonic() - self._began
-        self.context.metrics.latency.labels(self.kind).observe(took.total_seconds())
+        elapsed = self.context.clock.monotonic() - self._started_at
+        self.context.metrics.latency.labels(self.kind).observe(elapsed.total_seconds())
 
     def _identify(self) -> str:
-        """Name the caller: by its token, else as it says itself, else by its address."""
+        """Return the caller's name: from its token, else from X-Caller, else its IP address."""
         header = self.request.headers.get(HEADER_AUTHORIZATION)
         identified = self.context.tokens.identify(header)
         if isinstance(identified, Ok):
-            # The token is for us; passed on, every upstream could act in the caller's name.
-            self._dropped = _DROPPED_HEADERS | {HEADER_AUTHORIZATION.lower()}
+            # The token authenticates the caller to the entry. Upstreams must not receive it, since
+            # they could impersonate the caller with it.
+            self._dropped_headers = _DROPPED_HEADERS | {HEADER_AUTHORIZATION.lower()}
             return identified.unwrap().name
         return self.request.headers.get(HEADER_CALLER, "") or self.request.remote_ip or "unknown"
 
-    def caller_class(self) -> Result[CallerClass, Refusal]:
-        """Read the class of the request; a caller's record bounds how urgent it may call itself."""
+    def read_caller_class(self) -> Result[CallerClass, Refusal]:
+        """Return the priority class of the request.
+
+        It is never more urgent than the class in the caller's configuration record.
+        """
         spec = self.context.book.caller(self.caller)
         most_urgent = CallerClass.APPLICATION
         if spec is not None:
@@ -193,48 +204,55 @@
         text = self.request.headers.get(HEADER_PRIORITY, most_urgent.name).upper()
         if text not in CallerClass.__members__:
             allowed = ", ".join(c.name.lower() for c in CallerClass)
-            return Err(_bad(f"{HEADER_PRIORITY} must be one of {allowed}"))
+            return Err(_bad_request(f"{HEADER_PRIORITY} must be one of {allowed}"))
         return Ok(max(CallerClass[text], most_urgent))
 
-    def deadline(self, service: str) -> Result[timedelta, Refusal]:
-        """Read the deadline, on the monotonic clock."""
+    def read_deadline(self, service: str) -> Result[timedelta, Refusal]:
+        """Return the deadline on the monotonic clock.
+
+        It is read from X-Deadline-Ms, and defaults to the timeout of the service.
+        """
         text = self.request.headers.get(HEADER_DEADLINE)
         if text is None:
             return Ok(self.context.clock.monotonic() + self._timeout(service))
         if not text.isdecimal() or len(text) > _MAX_DEADLINE_DIGITS:
-            return Err(_bad(f"{HEADER_DEADLINE} must be a whole number of milliseconds"))
+            return Err(_bad_request(f"{HEADER_DEADLINE} must be a whole number of milliseconds"))
         return Ok(self.context.clock.monotonic() + timedelta(milliseconds=int(text)))
 
     def _timeout(self, service: str) -> timedelta:
         return timedelta(seconds=self.context.book.spec(service).timeout_seconds)
 
-    def idempotent(self, default: bool) -> Result[bool, Refusal]:
-        """Read whether the request may be repeated."""
+    def read_idempotent(self, default: bool) -> Result[bool, Refusal]:
+        """Return whether the request is idempotent, from X-Idempotent or `default`."""
         text = self.request.headers.get(HEADER_IDEMPOTENT, "").lower()
         if text not in ("", "true", "false"):
-            return Err(_bad(f"{HEADER_IDEMPOTENT} must be true or false"))
+            return Err(_bad_request(f"{HEADER_IDEMPOTENT} must be true or false"))
         return Ok(default if text == "" else text == "true")
 
-    def build(
+    def build_request(
         self, service: str, path: str, idempotent: bool, tokens: int = 0, prefix: str = ""
     ) -> Result[CallerRequest, Refusal]:
-        """Check the headers and put the request together."""
+        """Validate the headers and build the request, or return why it is rejected."""
         if not self.context.book.has_service(service):
             return Err(Refusal(RefusalReason.UNKNOWN_SERVICE, detail=service[:100]))
-        caller_class, deadline = self.caller_class(), self.deadline(service)
-        repeatable = self.idempotent(idempotent)
-        for part in (caller_class, deadline, repeatable):
+        caller_class, deadline = self.read_caller_class(), self.read_deadline(service)
+        is_idempotent = self.read_idempotent(idempotent)
+        for part in (caller_class, deadline, is_idempotent):
             if part.is_err():
                 return Err(part.unwrap_err())
-        key = self.request.headers.get(HEADER_KEY, "")
+        key = self.request.headers.get(HEADER_IDEMPOTENCY_KEY, "")
         if len(key) > _MAX_KEY_CHARS:
-            return Err(_bad(f"{HEADER_KEY} must have at most {_MAX_KEY_CHARS} characters"))
+            return Err(
+                _bad_request(
+                    f"{HEADER_IDEMPOTENCY_KEY} must have at most {_MAX_KEY_CHARS} characters"
+                )
+            )
         if key:
             key = scoped_key(self.caller, key)
         headers = [
             (name, value)
             for name, value in self.request.headers.get_all()
-            if name.lower() not in self._dropped
+            if name.lower() not in self._dropped_headers
         ]
         if HEADER_REQUEST_ID not in self.request.headers:
             headers.append((HEADER_REQUEST_ID, self.request_id))
@@ -248,72 +266,72 @@
                 deadline=deadline.unwrap(),
                 caller=self.caller,
                 caller_class=caller_class.unwrap(),
-                idempotent=repeatable.unwrap(),
+                idempotent=is_idempotent.unwrap(),
                 key=key,
                 tokens=tokens,
-                # Both callers of one key are sent to one upstream while they can be: it then
-                # sees the second one without asking the log.
+                # Requests with the same idempotency key are routed to the same upstream if
+                # possible, where a duplicate is detected without reading the log.
                 prefix_key=prefix or key,
                 prefix_tokens=len(prefix) // CHARS_PER_TOKEN if prefix else int(bool(key)),
                 request_id=self.request_id,
             )
         )
 
-    async def async_build_and_serve(self, built: Result[CallerRequest, Refusal]) -> None:
-        """Serve a request that was put together, or refuse it."""
+    async def async_serve_or_refuse(self, built: Result[CallerRequest, Refusal]) -> None:
+        """Serve a request that was built, or respond with the refusal."""
         if built.is_err():
             self.refuse(built.unwrap_err())
             return
-        self._work = asyncio.current_task()
+        self._task = asyncio.current_task()
         try:
             await self.async_serve(built.unwrap())
         except asyncio.CancelledError:
             self.context.metrics.fail(RefusalReason.CALLER_LEFT.value)
             break_off(self)
         finally:
-            self._work = None
+            self._task = None
 
 
 class ServiceHandler(_CallerHandler):
-    """Pass any request to a plain service."""
+    """Proxies any request to a plain service."""
 
     SUPPORTED_METHODS = ("GET", "HEAD", "POST", "DELETE", "PATCH", "PUT", "OPTIONS")
 
     async def async_handle(self, service: str, path: str) -> None:
-        """Pass the request on."""
-        # The router hands its groups over decoded; an escaped slash must stay one.
-        raw = self.request.uri.split("/", _SEGMENTS_BEFORE_PATH)[-1] if self.request.uri else ""
-        repeatable = self.request.method in _IDEMPOTENT_METHODS
-        await self.async_build_and_serve(self.build(service, f"/{raw}", repeatable))
+        """Proxy the request with its path and query unchanged."""
+        # Tornado decodes the captured groups, but an escaped slash must reach the upstream escaped.
+        raw_path = self.request.uri.split("/", _SLASHES_BEFORE_PATH)[-1] if self.request.uri else ""
+        is_idempotent = self.request.method in _IDEMPOTENT_METHODS
+        await self.async_serve_or_refuse(self.build_request(service, f"/{raw_path}", is_idempotent))
 
     get = head = post = delete = patch = put = options = async_handle
 
 
 class CompletionHandler(_CallerHandler):
-    """Pass a completion request to the engines that serve its model."""
+    """Proxies a completion request to the engines that serve its model."""
 
     kind = "completion"
 
     async def post(self, path: str) -> None:
-        """Pass the request on."""
-        await self.async_build_and_serve(self._read(path))
+        """Proxy the request."""
+        await self.async_serve_or_refuse(self._read_request(path))
 
-    def _read(self, path: str) -> Result[CallerRequest, Refusal]:
+    def _read_request(self, path: str) -> Result[CallerRequest, Refusal]:
         try:
             body = json.loads(self.request.body)
         except (ValueError, RecursionError):
-            return Err(_bad("the body is not JSON"))
+            return Err(_bad_request("the body is not JSON"))
         if not isinstance(body, dict) or not isinstance(body.get("model"), str):
-            return Err(_bad("the body must be an object with a model"))
+            return Err(_bad_request("the body must be an object with a model"))
         max_tokens = body.get("max_tokens", DEFAULT_MAX_TOKENS)
         if not isinstance(max_tokens, int) or isinstance(max_tokens, bool) or max_tokens < 1:
-            return Err(_bad("max_tokens must be a whole number above 0"))
+            return Err(_bad_request("max_tokens must be a whole number above 0"))
         service = self.context.book.service_for_model(body["model"])
         if service is None:
             return Err(Refusal(RefusalReason.UNKNOWN_SERVICE, detail=body["model"][:100]))
         prompt = _prompt_text(body)
         tokens = max_tokens + len(prompt) // CHARS_PER_TOKEN
-        return self.build(service, f"/v1/{path}", True, tokens, prompt[:PREFIX_CHARS])
+        return self.build_request(service, f"/v1/{path}", True, tokens, prompt[:PREFIX_CHARS])
 
 
 def _prompt_text(body: dict[str, Any]) -> str:
@@ -322,5 +340,5 @@
     return json.dumps(body.get("messages", body.get("prompt", "")))
 
 
-def _bad(detail: str) -> Refusal:
+def _bad_request(detail: str) -> Refusal:
     return Refusal(RefusalReason.BAD_REQUEST, detail=detail)
--- a/cranberryline/entry/rollouts.py
+++ b/cranberryline/entry/rollouts.py
@@ -1,4 +1,4 @@
-"""Make samples over the callers' own path, and find the entry that owns a trainer's steps."""
+"""The entry's implementations of the ports of samples: dispatch, limits, step owners and scores."""
 
 import json
 from collections.abc import Callable
@@ -32,12 +32,12 @@
 
 __all__ = ["DispatcherSamples", "FoldRollouts", "MeshOwners", "NoScores"]
 
-_COMPLETIONS = "/v1/completions"
+_COMPLETIONS_PATH = "/v1/completions"
 STATUS_OK = 200
 
 
 class _SampleSink(ResponseSink):
-    """Feed an engine's stream to its attribution."""
+    """Attributes the tokens of a streamed completion to weight versions."""
 
     can_restart = True
 
@@ -47,22 +47,22 @@
         self.stream = CompletionStream()
 
     def dispatched(self, upstream: str) -> None:
-        """Tell the step which upstream makes the sample."""
+        """Report the upstream that generates the sample."""
         self._on_dispatched(upstream)
 
     async def async_head(self, status: int, headers: tuple[tuple[str, str], ...]) -> bool:
-        """Begin anew: an earlier attempt's part belongs to another run."""
+        """Start a new completion; the partial stream of an earlier attempt is discarded."""
         self.status = status
         self.stream = CompletionStream()
         return False
 
     async def async_chunk(self, data: bytes, last: bool = False) -> None:
-        """Take in a part of the stream."""
+        """Parse the next part of the stream."""
         self.stream.feed(data)
 
 
 class DispatcherSamples(SampleDispatch):
-    """Run completions as requests of class `trainer`, in their turn with everyone's."""
+    """Queues completions in the dispatcher with all other requests, in class `trainer`."""
 
     def __init__(self, dispatcher: Dispatcher, book: ServiceCatalog, clock: Clock) -> None:
         self._dispatcher = dispatcher
@@ -72,7 +72,7 @@
     async def async_complete(
         self, req: SampleRequest, on_dispatched: Callable[[str], None]
     ) -> Result[Completion, DispatchError]:
-        """Return a whole, attributed completion; cancelling the call cancels the work."""
+        """Return a complete, attributed completion; cancelling the call cancels the request."""
         if not self._book.has_service(req.service):
             return Err(DispatchError(DiscardReason.FAILED, "the service is not configured"))
         sink = _SampleSink(on_dispatched)
@@ -101,7 +101,7 @@
         return CallerRequest(
             service=req.service,
             method="POST",
-            path=_COMPLETIONS,
+            path=_COMPLETIONS_PATH,
             headers=(
                 ("Content-Type", "application/json"),
                 (HEADER_REQUEST_ID, f"{req.sample_id}#{req.attempt}"),
@@ -121,7 +121,7 @@
 
 
 class FoldRollouts(RolloutConfig):
-    """Read trainers' limits from the configuration in force."""
+    """Reads the limits of trainers from the current configuration."""
 
     def __init__(self, fold: ConfigFold) -> None:
         self._fold = fold
@@ -137,10 +137,10 @@
 
 
 class MeshOwners(OwnerPort):
-    """The owner of a trainer's steps is the live entry that ranks first for the trainer's name.
+    """Chooses the owner of a trainer's steps by rendezvous hashing over the live entries.
 
-    Two entries that see different members may both think so; the trainer's cursor keeps the count
-    right, and only the work of one of them is wasted.
+    Two entries with different member lists may both consider themselves the owner. The trainer's
+    cursor still prevents lost and duplicate samples; only the work of one entry is wasted.
     """
 
     def __init__(self, vm_id: str, mesh: EntryMesh, live: Callable[[], list[str]]) -> None:
@@ -150,19 +150,19 @@
 
     def owner_of(self, trainer: str) -> str | None:
         """Return the owner's entry id, or None when it is this entry."""
-        first = rendezvous.rank(trainer, {*self._live(), self._vm_id})[0]
-        return None if first == self._vm_id else first
+        owner = rendezvous.rank(trainer, {*self._live(), self._vm_id})[0]
+        return None if owner == self._vm_id else owner
 
     async def async_forward(
         self, entry_id: str, method: str, path: str, body: bytes, budget: timedelta
     ) -> Result[tuple[int, bytes], Any]:
-        """Pass a call on; an error means that the owner gave no answer."""
+        """Forward a call; an error means that the owner did not respond."""
         result = await self._mesh.async_request(entry_id, method, path, body, budget)
         return result.map(lambda reply: (reply.status, reply.body))
 
 
 class NoScores(ScorePort):
-    """Score nothing, where the settings name no scorer."""
+    """Scores every sample with 0, used when no scorer is configured."""
 
     async def async_score(self, sample: dict[str, Any]) -> Result[float, PlatformError]:
         """Return 0."""
--- a/cranberryline/entry/trainer_handlers.py
+++ b/cranberryline/entry/trainer_handlers.py
@@ -1,4 +1,4 @@
-"""The trainers' HTTP surface: who may call, and the answer on the wire."""
+"""HTTP handlers for trainers, which authenticate each call and write its response."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,76 +9,76 @@
 from cranberryline.helpers.http_server import break_off
 from cranberryline.helpers.problem import ProblemHandler, write_problem
 
-from .trainers import TrainerAnswer, TrainerService
+from .trainers import TrainerResponse, TrainerService
 
 __all__ = ["PullHandler", "StepHandler", "TokenCheck", "trainer_routes"]
 
-# Returns whether the token allows the trainer's call; if not, it has written the refusal.
+# Returns whether the token authorizes the call of that trainer; if not, it has sent the error.
 TokenCheck = Callable[[RequestHandler, str], bool]
 
 
 class _TrainerHandler(ProblemHandler):
-    """What both calls share: the token, and one task that ends with the connection."""
+    """Base handler that checks the token and cancels its call when the trainer disconnects."""
 
     def initialize(self, service: TrainerService, token_check: TokenCheck) -> None:
-        """Take in the service and the token check."""
+        """Store the service and the token check."""
         self._service = service
         self._token_check = token_check
-        self._work: asyncio.Task[TrainerAnswer] | None = None
+        self._task: asyncio.Task[TrainerResponse] | None = None
 
     def on_connection_close(self) -> None:
-        """Stop waiting for samples on behalf of a trainer that has gone."""
-        if self._work is not None:
-            self._work.cancel()
+        """Cancel the call of a trainer that has disconnected."""
+        if self._task is not None:
+            self._task.cancel()
 
-    async def async_answer(self, trainer: str, work: Any) -> None:
-        """Run a call and write its answer."""
+    async def async_respond(self, trainer: str, call: Any) -> None:
+        """Run a call, if the token allows it, and write its response."""
         if not self._token_check(self, trainer):
-            work.close()
+            call.close()
             return
-        self._work = asyncio.ensure_future(work)
+        self._task = asyncio.ensure_future(call)
         try:
-            answer = await self._work
+            response = await self._task
         except asyncio.CancelledError:
             break_off(self)
             return
-        self._write(answer)
+        self._write(response)
 
-    def _write(self, answer: TrainerAnswer) -> None:
-        if answer.reason:
+    def _write(self, response: TrainerResponse) -> None:
+        if response.reason:
             write_problem(
                 self,
-                answer.status,
-                answer.reason,
-                answer.title,
-                retry_after=answer.retry_after,
-                detail=answer.detail,
+                response.status,
+                response.reason,
+                response.title,
+                retry_after=response.retry_after,
+                detail=response.detail,
             )
             return
-        self.set_status(answer.status)
+        self.set_status(response.status)
         self.set_header("Content-Type", "application/json")
-        self.finish(answer.body())
+        self.finish(response.body())
 
 
 class StepHandler(_TrainerHandler):
-    """Declare a step."""
+    """Declares a step."""
 
     async def put(self, trainer: str, step: str) -> None:
-        """Declare a step; the same declaration again changes nothing."""
-        work = self._service.async_declare(trainer, int(step), self.request.body)
-        await self.async_answer(trainer, work)
+        """Declare a step; repeating the same declaration has no effect."""
+        call = self._service.async_declare(trainer, int(step), self.request.body)
+        await self.async_respond(trainer, call)
 
 
 class PullHandler(_TrainerHandler):
-    """Pull samples."""
+    """Pulls samples."""
 
     async def post(self, trainer: str) -> None:
-        """Hand over finished samples, waiting for the first as long as the call allows."""
-        await self.async_answer(trainer, self._service.async_pull(trainer, self.request.body))
+        """Return finished samples; wait for the first one up to the time given in the request."""
+        await self.async_respond(trainer, self._service.async_pull(trainer, self.request.body))
 
 
 def trainer_routes(service: TrainerService, token_check: TokenCheck) -> list[Any]:
-    """Return the routes of the trainers' surface."""
+    """Return the routes of the trainers' endpoints."""
     args = {"service": service, "token_check": token_check}
     return [
         (r"/trainers/([A-Za-z0-9._-]{1,128})/steps/([0-9]{1,16})", StepHandler, args),
--- a/cranberryline/entry/trainers.py
+++ b/cranberryline/entry/trainers.py
@@ -1,4 +1,4 @@
-"""Trainers' calls: declare a step, pull its samples, here or at the step's owner."""
+"""Declares steps and pulls samples for trainers, locally or at the entry that owns the step."""
 
 import abc
 import asyncio
@@ -26,7 +26,7 @@
 
 __all__ = [
     "OwnerPort",
-    "TrainerAnswer",
+    "TrainerResponse",
     "TrainerService",
 ]
 
@@ -42,18 +42,18 @@
 REASON_STEP_UNKNOWN = "step_unknown"
 
 MAX_STEP = 2**53
-# A forwarded call is given up this much after the owner should have answered it.
-FORWARD_MARGIN = timedelta(seconds=2)
-DECLARE_BUDGET = timedelta(seconds=5)
+# A forwarded pull times out this long after the owner should have responded.
+FORWARD_TIMEOUT_MARGIN = timedelta(seconds=2)
+DECLARE_FORWARD_TIMEOUT = timedelta(seconds=5)
 RETRY_AFTER_FULL = timedelta(seconds=5)
 RETRY_AFTER_STOPPING = timedelta(seconds=1)
 
-_ALLOWED_CURSOR = "the text of the last next_cursor, or an empty text"
-_CURSOR_STATUS = {CursorReason.OTHER_STEP: 409}
+_ALLOWED_CURSOR = "the next_cursor of the last response, or an empty string"
+_STATUS_BY_CURSOR_REASON = {CursorReason.OTHER_STEP: 409}
 
 
 class OwnerPort(abc.ABC):
-    """Find the entry that owns a trainer's steps, and pass calls to it."""
+    """Port that finds the entry that owns a trainer's steps and forwards calls to it."""
 
     @abc.abstractmethod
     def owner_of(self, trainer: str) -> str | None:
@@ -61,14 +61,14 @@
 
     @abc.abstractmethod
     async def async_forward(
-        self, entry_id: str, method: str, path: str, body: bytes, budget: timedelta
+        self, entry_id: str, method: str, path: str, body: bytes, timeout: timedelta
     ) -> Result[tuple[int, bytes], Any]:
-        """Pass a call on; an error means that the owner gave no answer."""
+        """Forward a call; an error means that the owner did not respond."""
 
 
 @attrs.frozen
-class TrainerAnswer:
-    """An answer to a trainer; `reason` is set on refusals."""
+class TrainerResponse:
+    """A response to a trainer; `reason` is set only if the call was rejected."""
 
     status: int
     payload: dict[str, Any] = attrs.field(factory=dict)
@@ -78,7 +78,7 @@
     retry_after: timedelta | None = None
 
     def body(self) -> bytes:
-        """Return the answer as JSON, for the entry that passed the call on."""
+        """Return the response body as JSON."""
         if self.reason:
             retry_after_s = self.retry_after.total_seconds() if self.retry_after else 0
             return problem_body(
@@ -91,8 +91,8 @@
         return json.dumps(self.payload).encode()
 
 
-def _answer_from(status: int, body: bytes) -> TrainerAnswer | None:
-    """Read an owner's answer; None when it is not one."""
+def _parse_response(status: int, body: bytes) -> TrainerResponse | None:
+    """Parse the response of an owner; return None if it is malformed."""
     try:
         data = json.loads(body)
     except ValueError:
@@ -100,9 +100,9 @@
     if not isinstance(data, dict):
         return None
     if "reason" not in data:
-        return TrainerAnswer(status, data)
+        return TrainerResponse(status, data)
     retry_after_s = data.get("retry_after_s") or 0
-    return TrainerAnswer(
+    return TrainerResponse(
         status,
         reason=str(data["reason"]),
         title=str(data.get("title", "")),
@@ -112,94 +112,103 @@
 
 
 class TrainerService:
-    """Answer trainers' calls; a step has one owner among the entries, and any can stand in."""
+    """Handles the calls of trainers.
+
+    Each step is owned by one entry. If the owner cannot be reached, any other entry can handle
+    the call itself.
+    """
 
     def __init__(self, table: StepTable, config: RolloutConfig, owners: OwnerPort) -> None:
         self._table = table
         self._config = config
         self._owners = owners
-        self._waiting: set[asyncio.Future[TrainerAnswer | None]] = set()
+        self._pending_forwards: set[asyncio.Future[TrainerResponse | None]] = set()
 
     async def async_close(self) -> None:
-        """Stop all steps, and answer the pulls that wait: for samples here, or for their owner's answer.
+        """Stop all steps, and respond to pending pulls, both local and forwarded ones.
 
-        Waited for, a pull at another owner would hold a stop as long as it may wait, and closed without an
-        answer this entry looks broken. The trainer asks again with the same cursor, so it loses nothing.
+        Waiting for a forwarded pull would delay the shutdown by up to the pull's wait, and closing
+        its connection without a response would make this entry look broken. The trainer loses no
+        samples, since it pulls again with the same cursor.
         """
         await self._table.async_close()
-        for call in list(self._waiting):
+        for call in list(self._pending_forwards):
             call.cancel()
 
-    async def async_declare(self, trainer: str, step: int, body: bytes) -> TrainerAnswer:
-        """Declare a step at its owner, or here when the owner can't be reached."""
+    async def async_declare(self, trainer: str, step: int, body: bytes) -> TrainerResponse:
+        """Declare a step at its owner, or locally if the owner cannot be reached."""
         path = f"/trainers/{trainer}/steps/{step}"
         owner = self._owners.owner_of(trainer)
         if owner is not None:
-            answer = await self._async_forward(owner, "PUT", path, body, DECLARE_BUDGET)
-            if answer is not None:
-                return answer
-        return self._declare(trainer, step, body, owner is None)
-
-    async def async_pull(self, trainer: str, body: bytes) -> TrainerAnswer:
-        """Pull from a step's owner, or from here when the owner can't be reached."""
-        pull = read_pull(body)
-        if isinstance(pull, TrainerAnswer):
+            response = await self._async_forward(owner, "PUT", path, body, DECLARE_FORWARD_TIMEOUT)
+            if response is not None:
+                return response
+        return self._declare_locally(trainer, step, body, owner is None)
+
+    async def async_pull(self, trainer: str, body: bytes) -> TrainerResponse:
+        """Pull samples from the owner of the step, or locally if it cannot be reached."""
+        pull = parse_pull(body)
+        if isinstance(pull, TrainerResponse):
             return pull
         owner = self._owners.owner_of(trainer)
         if owner is not None and not self._table.closed:
             path = f"/trainers/{trainer}/pull"
-            budget = pull.pull.wait + FORWARD_MARGIN
-            call = self._async_forward(owner, "POST", path, body, budget)
-            answer = await self._async_until_closed(call)
-            if answer is not None:
-                return answer
-        return await self._async_pull_here(trainer, pull, owner is None)
+            timeout = pull.pull.wait + FORWARD_TIMEOUT_MARGIN
+            call = self._async_forward(owner, "POST", path, body, timeout)
+            response = await self._async_until_closed(call)
+            if response is not None:
+                return response
+        return await self._async_pull_locally(trainer, pull, owner is None)
 
     async def async_serve_peer(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
-        """Answer a call that another entry passed on; it is never passed on again.
+        """Handle a call that another entry forwarded, without forwarding it again.
 
-        Two entries that disagree on the owner would otherwise pass a call to and fro.
+        Two entries that disagree on the owner could otherwise forward a call to each other forever.
         """
-        answer = await self._async_serve_peer(method, path, body)
-        return answer.status, answer.body()
+        response = await self._async_serve_peer(method, path, body)
+        return response.status, response.body()
 
-    async def _async_serve_peer(self, method: str, path: str, body: bytes) -> TrainerAnswer:
+    async def _async_serve_peer(self, method: str, path: str, body: bytes) -> TrainerResponse:
         parts = path.strip("/").split("/")
         match method, parts:
             case "PUT", ["trainers", trainer, "steps", step] if step.isdecimal():
-                return self._declare(trainer, int(step), body, owner=True)
+                return self._declare_locally(trainer, int(step), body, is_owner=True)
             case "POST", ["trainers", trainer, "pull"]:
-                pull = read_pull(body)
-                if isinstance(pull, TrainerAnswer):
+                pull = parse_pull(body)
+                if isinstance(pull, TrainerResponse):
                     return pull
-                return await self._async_pull_here(trainer, pull, owner=True)
-        return TrainerAnswer(404, reason=REASON_NOT_FOUND, title="No such trainer's call")
+                return await self._async_pull_locally(trainer, pull, is_owner=True)
+        return TrainerResponse(404, reason=REASON_NOT_FOUND, title="Unknown trainer endpoint")
 
-    def _declare(self, trainer: str, step: int, body: bytes, owner: bool) -> TrainerAnswer:
+    def _declare_locally(
+        self, trainer: str, step: int, body: bytes, is_owner: bool
+    ) -> TrainerResponse:
         if step > MAX_STEP:
-            return _bad_request("step", f"a whole number up to {MAX_STEP}")
-        data = _json(body)
-        read = read_declaration(trainer, step, data)
-        if isinstance(read, Err):
-            error = read.unwrap_err()
-            return _bad_request(error.field, error.detail)
-        declaration = read.unwrap()
+            return _bad_request_response("step", f"a whole number up to {MAX_STEP}")
+        data = _parse_json(body)
+        parsed = read_declaration(trainer, step, data)
+        if isinstance(parsed, Err):
+            error = parsed.unwrap_err()
+            return _bad_request_response(error.field, error.detail)
+        declaration = parsed.unwrap()
         if self._config.limits(trainer, declaration.service) is None:
-            return _not_configured(declaration)
+            return _not_configured_response(declaration)
         cursor = data.get(ATTR_CURSOR, CURSOR_START)
         if not isinstance(cursor, str):
-            return _bad_request(ATTR_CURSOR, _ALLOWED_CURSOR)
-        result = self._table.declare(declaration, owner, cursor)
+            return _bad_request_response(ATTR_CURSOR, _ALLOWED_CURSOR)
+        result = self._table.declare(declaration, is_owner, cursor)
         if isinstance(result, Err):
-            return _refused_step(result.unwrap_err())
-        return TrainerAnswer(200, {"trainer": trainer, "step": step, "samples": declaration.size})
+            return _step_error_response(result.unwrap_err())
+        return TrainerResponse(200, {"trainer": trainer, "step": step, "samples": declaration.size})
 
-    async def _async_pull_here(self, trainer: str, pull: "PullCall", owner: bool) -> TrainerAnswer:
+    async def _async_pull_locally(
+        self, trainer: str, pull: "PullCall", is_owner: bool
+    ) -> TrainerResponse:
         if self._table.closed:
-            return _refused_step(StepRefusal.STOPPING)
-        runner = self._table.find(trainer, pull.step, owner)
+            return _step_error_response(StepRefusal.STOPPING)
+        runner = self._table.find(trainer, pull.step, is_owner)
         if runner is None:
-            return TrainerAnswer(
+            return TrainerResponse(
                 409,
                 reason=REASON_STEP_UNKNOWN,
                 title="This entry does not know the step",
@@ -207,65 +216,68 @@
             )
         result = await runner.async_pull(pull.pull)
         if isinstance(result, Err):
-            return _refused_cursor(result.unwrap_err())
-        return TrainerAnswer(200, _batch_payload(runner.declaration, result.unwrap()))
+            return _cursor_error_response(result.unwrap_err())
+        return TrainerResponse(200, _batch_payload(runner.declaration, result.unwrap()))
 
     async def _async_until_closed(
-        self, work: Coroutine[Any, Any, TrainerAnswer | None]
-    ) -> TrainerAnswer | None:
-        """Wait for an owner's answer; None if this entry stops first."""
-        call = asyncio.ensure_future(work)
-        self._waiting.add(call)
+        self, forward: Coroutine[Any, Any, TrainerResponse | None]
+    ) -> TrainerResponse | None:
+        """Wait for the owner's response; return None if this entry stops first."""
+        call = asyncio.ensure_future(forward)
+        self._pending_forwards.add(call)
         try:
             await asyncio.wait((call,))
         finally:
             call.cancel()
-            self._waiting.discard(call)
+            self._pending_forwards.discard(call)
         return None if call.cancelled() else call.result()
 
     async def _async_forward(
-        self, owner: str, method: str, path: str, body: bytes, budget: timedelta
-    ) -> TrainerAnswer | None:
-        """Return an owner's answer; None when it gave none, or takes no more steps since it stops."""
-        result = await self._owners.async_forward(owner, method, path, body, budget)
+        self, owner: str, method: str, path: str, body: bytes, timeout: timedelta
+    ) -> TrainerResponse | None:
+        """Return the owner's response, or None if it did not respond or is shutting down."""
+        result = await self._owners.async_forward(owner, method, path, body, timeout)
         if isinstance(result, Err):
             return None
-        answer = _answer_from(*result.unwrap())
-        if answer is None or answer.reason == StepRefusal.STOPPING.value:
+        response = _parse_response(*result.unwrap())
+        if response is None or response.reason == StepRefusal.STOPPING.value:
             return None
-        return answer
+        return response
 
 
 @attrs.frozen
 class PullCall:
-    """A pull as it came, with the step that it is about."""
+    """A parsed pull request and the step that it refers to."""
 
     step: int
     pull: Pull
 
 
-def read_pull(body: bytes) -> PullCall | TrainerAnswer:
-    """Read the body of a pull, or return the refusal that names the wrong field."""
-    data = _json(body)
+def parse_pull(body: bytes) -> PullCall | TrainerResponse:
+    """Parse the body of a pull; on an invalid field, return the response that names it."""
+    data = _parse_json(body)
     if not isinstance(data, dict):
-        return _bad_request("body", "a JSON object")
+        return _bad_request_response("body", "a JSON object")
     cursor, wait_s = data.get(ATTR_CURSOR, ""), data.get(ATTR_WAIT_S, 0)
     if not isinstance(cursor, str):
-        return _bad_request(ATTR_CURSOR, _ALLOWED_CURSOR)
-    most_wait = MAX_PULL_WAIT.total_seconds()
-    if type(wait_s) not in (int, float) or not 0 <= wait_s <= most_wait:
-        return _bad_request(ATTR_WAIT_S, f"seconds from 0 to {most_wait:g}")
+        return _bad_request_response(ATTR_CURSOR, _ALLOWED_CURSOR)
+    max_wait_s = MAX_PULL_WAIT.total_seconds()
+    if type(wait_s) not in (int, float) or not 0 <= wait_s <= max_wait_s:
+        return _bad_request_response(ATTR_WAIT_S, f"seconds from 0 to {max_wait_s:g}")
     limit = data.get(ATTR_MAX, DEFAULT_PULL_SAMPLES)
-    whole = ((ATTR_STEP, data.get(ATTR_STEP), 0, MAX_STEP), (ATTR_MAX, limit, 1, MAX_PULL_SAMPLES))
+    integers = (
+        (ATTR_STEP, data.get(ATTR_STEP), 0, MAX_STEP),
+        (ATTR_MAX, limit, 1, MAX_PULL_SAMPLES),
+    )
     version = (ATTR_VERSION, data.get(ATTR_VERSION), 0, MAX_WEIGHT_VERSION)
-    for name, value, least, most in (*whole, version):
-        if type(value) is not int or not least <= value <= most:
-            return _bad_request(name, f"a whole number from {least} to {most}")
+    for name, value, minimum, maximum in (*integers, version):
+        if type(value) is not int or not minimum <= value <= maximum:
+            return _bad_request_response(name, f"a whole number from {minimum} to {maximum}")
     wait = timedelta(seconds=wait_s)
     return PullCall(data[ATTR_STEP], Pull(cursor, data[ATTR_VERSION], limit, wait))
 
 
-def _json(body: bytes) -> Any:
+def _parse_json(body: bytes) -> Any:
     try:
         return json.loads(body)
     except (ValueError, RecursionError):
@@ -296,37 +308,37 @@
     }
 
 
-def _bad_request(field: str, allowed: str) -> TrainerAnswer:
+def _bad_request_response(field: str, allowed: str) -> TrainerResponse:
     title = f"{field} is not valid"
     detail = f"allowed: {allowed}"
-    return TrainerAnswer(400, reason=REASON_BAD_REQUEST, title=title, detail=detail)
+    return TrainerResponse(400, reason=REASON_BAD_REQUEST, title=title, detail=detail)
 
 
-def _not_configured(declaration: StepDeclaration) -> TrainerAnswer:
-    return TrainerAnswer(
+def _not_configured_response(declaration: StepDeclaration) -> TrainerResponse:
+    return TrainerResponse(
         404,
         reason=REASON_NOT_CONFIGURED,
-        title="No configuration in force for this trainer and service",
+        title="The trainer or its service is not configured",
         detail=f"publish records for {declaration.trainer} and {declaration.service}",
     )
 
 
-def _refused_cursor(error: CursorError) -> TrainerAnswer:
-    status = _CURSOR_STATUS.get(error.reason, 400)
-    title = "The cursor is not one of this step"
-    return TrainerAnswer(status, reason=error.reason.value, title=title, detail=error.detail)
+def _cursor_error_response(error: CursorError) -> TrainerResponse:
+    status = _STATUS_BY_CURSOR_REASON.get(error.reason, 400)
+    title = "The cursor is not valid for this step"
+    return TrainerResponse(status, reason=error.reason.value, title=title, detail=error.detail)
 
 
-def _refused_step(refusal: StepRefusal | CursorError) -> TrainerAnswer:
+def _step_error_response(refusal: StepRefusal | CursorError) -> TrainerResponse:
     if isinstance(refusal, CursorError):
-        return _refused_cursor(refusal)
+        return _cursor_error_response(refusal)
     if refusal is StepRefusal.STOPPING:
-        title = "This entry stops"
-        return TrainerAnswer(
+        title = "This entry is shutting down"
+        return TrainerResponse(
             503, reason=refusal.value, title=title, retry_after=RETRY_AFTER_STOPPING
         )
     if refusal is StepRefusal.TOO_MANY_STEPS:
-        title = "This entry works on too many steps"
-        return TrainerAnswer(503, reason=refusal.value, title=title, retry_after=RETRY_AFTER_FULL)
-    title = "The step was declared with other groups"
-    return TrainerAnswer(409, reason=refusal.value, title=title)
+        title = "This entry has reached its limit of active steps"
+        return TrainerResponse(503, reason=refusal.value, title=title, retry_after=RETRY_AFTER_FULL)
+    title = "The step was already declared with different groups"
+    return TrainerResponse(409, reason=refusal.value, title=title)
--- a/tests/entry/entry_process.py
+++ b/tests/entry/entry_process.py
@@ -1,4 +1,4 @@
-"""A whole entry in the test's own loop, over fakes of the platform and of its upstreams."""
+"""Runs complete entries in the test's event loop, with fakes of the platform and the upstreams."""
 
 import asyncio
 import json
@@ -42,43 +42,43 @@
         (TRAINER_TOKEN, Identity(TRAINER, Role.TRAINER)),
     ]
 )
-_SETTLE_S = 10.0
+_SETTLE_TIMEOUT_S = 10.0
 
 
 class SlowUpstream(FakeUpstream):
-    """An upstream that takes a while over each run, and notes the paths that it ran."""
+    """An upstream that responds after a delay and records the requests it has received."""
 
     delay_s = 0.0
 
     @property
     def paths(self) -> list[str]:
-        """Return what was run."""
+        """Return the paths of the received requests."""
         return [run.path for run in self.runs]
 
     async def async_send(
         self, req: UpstreamRequest, timeout: timedelta
     ) -> Result[UpstreamBody, PlatformError]:
-        """Note the run, and answer after the delay."""
-        sent = await super().async_send(req, timeout)
+        """Record the request, and respond after the delay."""
+        result = await super().async_send(req, timeout)
         await asyncio.sleep(self.delay_s)
-        return sent
+        return result
 
 
 class SlowLog(FakeLog):
-    """A log whose appends can be made to take a while."""
+    """A log whose appends are confirmed after a delay."""
 
-    append_s = 0.0
+    append_delay_s = 0.0
 
     async def async_append(
         self, stream: str, records: list[tuple[str, dict[str, Any]]]
     ) -> Result[list[int], PlatformError]:
-        """Append, and answer after the delay."""
-        appended = await super().async_append(stream, records)
-        await asyncio.sleep(self.append_s)
-        return appended
+        """Append, and confirm after the delay."""
+        result = await super().async_append(stream, records)
+        await asyncio.sleep(self.append_delay_s)
+        return result
 
 
-class _FixedList(VmListPort):
+class _FixedVmList(VmListPort):
     """A VM list that never changes."""
 
     def __init__(self, vms: list[VmEntry]) -> None:
@@ -87,7 +87,7 @@
     async def async_list(
         self, known_version: int = 0, wait: timedelta = timedelta()
     ) -> Result[VmList | None, PlatformError]:
-        """Return the list once, then wait as told."""
+        """Return the list once, then wait for the requested time without a change."""
         if known_version:
             await asyncio.sleep(wait.total_seconds())
             return Ok(None)
@@ -96,42 +96,42 @@
 
 @attrs.define
 class Caller:
-    """A caller with a connection of its own."""
+    """A caller with its own connection to an entry."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     @classmethod
-    async def async_dial(cls, entry: "Entry", limit: int = 2**16) -> "Caller":
+    async def async_connect(cls, entry: "Entry", limit: int = 2**16) -> "Caller":
         """Open a connection to an entry."""
         host, _, port = entry.cfg.listen.rpartition(":")
         return cls(*await asyncio.open_connection(host, int(port), limit=limit))
 
     def send(self, path: str, method: str = "GET", token: str = "", body: Any = None) -> None:
-        """Send a whole request."""
+        """Send a complete request."""
         data = b"" if body is None else json.dumps(body).encode()
         lines = [f"{method} {path} HTTP/1.1", "Host: h", f"Content-Length: {len(data)}"]
         if token:
             lines.append(f"Authorization: Bearer {token}")
         self.writer.write("\r\n".join([*lines, "", ""]).encode() + data)
 
-    async def async_answer(self) -> tuple[int, bytes] | None:
-        """Return status and body, or None when the connection ended before the answer was whole."""
+    async def async_read_response(self) -> tuple[int, bytes] | None:
+        """Return the status and body, or None if the response ended prematurely."""
         try:
             head = (await self.reader.readuntil(b"\r\n\r\n")).decode().lower().split("\r\n")
             if "transfer-encoding: chunked" in head:
-                return int(head[0].split()[1]), await self._async_chunks()
+                return int(head[0].split()[1]), await self._async_read_chunked_body()
             (length,) = (int(ln.split(":")[1]) for ln in head if ln.startswith("content-length:"))
             return int(head[0].split()[1]), await self.reader.readexactly(length)
         except (asyncio.IncompleteReadError, ConnectionError):
             return None
 
     async def async_call(self, path: str, **request: Any) -> tuple[int, bytes] | None:
-        """Send a request and return its answer."""
+        """Send a request and return its response."""
         self.send(path, **request)
-        return await self.async_answer()
+        return await self.async_read_response()
 
-    async def _async_chunks(self) -> bytes:
+    async def _async_read_chunked_body(self) -> bytes:
         body = b""
         while size := int(await self.reader.readuntil(b"\r\n"), 16):
             body += (await self.reader.readexactly(size + 2))[:-2]
@@ -141,13 +141,13 @@
 
 @attrs.define
 class Entry:
-    """An entry and its settings."""
+    """A running entry and its settings."""
 
     cfg: EntrySettings
     process: EntryProcess
 
-    async def async_end(self) -> None:
-        """End as a process does: its sockets close, whatever they still had."""
+    async def async_terminate(self) -> None:
+        """Close all sockets as the end of the process does, even with unsent data."""
         await self.process.async_close()
         server = self.process._http
         if server is not None:
@@ -156,8 +156,8 @@
 
 
 @attrs.define
-class Stage:
-    """Entries that know each other, a log, and an upstream for each service."""
+class EntryCluster:
+    """Entries that are connected to each other, a log, and one upstream per service."""
 
     log: SlowLog
     entries: list[Entry]
@@ -170,8 +170,8 @@
 
 
 async def async_until(condition: Callable[[], Any]) -> None:
-    """Wait until something is so."""
-    async with asyncio.timeout(_SETTLE_S):
+    """Wait until the condition is true; raise TimeoutError after `_SETTLE_TIMEOUT_S` seconds."""
+    async with asyncio.timeout(_SETTLE_TIMEOUT_S):
         while not condition():  # noqa: ASYNC110 - fakes have no event to wait for
             await asyncio.sleep(0.001)
 
@@ -205,12 +205,15 @@
 
 
 @asynccontextmanager
-async def async_stage(
+async def async_start_cluster(
     monkeypatch: pytest.MonkeyPatch,
     entries: int = 1,
     stop_timeout: timedelta = timedelta(seconds=30),
-) -> AsyncIterator[Stage]:
-    """Start entries whose upstreams have no side process; the balancer's notice is left out."""
+) -> AsyncIterator[EntryCluster]:
+    """Start entries whose upstreams have no side process.
+
+    On a shutdown they do not wait for the load balancer to notice it.
+    """
     cfgs = [_settings(f"entry-{n}", stop_timeout) for n in range(1, entries + 1)]
     vms = [VmEntry(cfg.vm_id, VmRole.ENTRY, VmState.LIVE, "levis", cfg.peer) for cfg in cfgs]
     upstreams = {}
@@ -222,16 +225,18 @@
     _put_records(log)
     monkeypatch.setattr(entry_app, "_BALANCER_NOTICE", timedelta())
     monkeypatch.setattr(entry_app, "HttpLog", lambda _: log)
-    monkeypatch.setattr(entry_app, "HttpVmList", lambda _: _FixedList(vms))
+    monkeypatch.setattr(entry_app, "HttpVmList", lambda _: _FixedVmList(vms))
     by_url = {_url(service): upstream for service, upstream in upstreams.items()}
     monkeypatch.setattr(direct, "HttpPlainService", by_url.__getitem__)
-    started = [Entry(cfg, EntryProcess(cfg, _TOKENS, SystemClock())) for cfg in cfgs]
-    for entry in started:
+    running = [Entry(cfg, EntryProcess(cfg, _TOKENS, SystemClock())) for cfg in cfgs]
+    for entry in running:
         entry.process.start()
-    for entry in started:
-        await async_until(lambda ready=entry.process: ready.ready and ready.table.usable(SERVICE))
+    for entry in running:
+        await async_until(
+            lambda process=entry.process: process.ready and process.table.usable(SERVICE)
+        )
     try:
-        yield Stage(log, started, upstreams)
+        yield EntryCluster(log, running, upstreams)
     finally:
-        for entry in started:
-            await entry.async_end()
+        for entry in running:
+            await entry.async_terminate()
--- a/tests/entry/test_proxy.py
+++ b/tests/entry/test_proxy.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP surface over fake side processes: what passes through, and what is refused."""
+"""Which callers' requests the HTTP handlers forward to side processes, and which they reject."""
 
 import asyncio
 import json
@@ -23,33 +23,33 @@
 TOKEN = "a-token-of-sixteen-characters"
 
 
-def _cut(side: FakeSideProcess, exchange: Exchange, msg: Submit) -> None:
+def _send_truncated_response(side: FakeSideProcess, exchange: Exchange, msg: Submit) -> None:
     exchange.push(Head(msg.id, 200, (("Content-Type", "text/plain"),)))
     exchange.push(Chunk(msg.id, 0, b"a part"))
     exchange.push(Failed(msg.id, "upstream_cut", "yes"))
 
 
-class Surface:
-    """The callers' HTTP surface before two fake side processes, on a loop of its own."""
+class ProxyHarness:
+    """The callers' HTTP endpoints with two fake side processes, in their own event loop."""
 
     def __init__(self, runner: asyncio.Runner) -> None:
         self._runner = runner
-        self.bench = DispatcherHarness(SystemClock())
-        self.bench.publish("service", "redacteurs", {"type": "engine", "model": "rooms"})
-        self.bench.publish("caller", "routing", {"share": 1, "class": "background"})
-        self.side = self.bench.add_upstream("up-1")
-        self.bench.service = "redacteurs"
-        self.engine = self.bench.add_upstream("up-2")
+        self.harness = DispatcherHarness(SystemClock())
+        self.harness.publish("service", "redacteurs", {"type": "engine", "model": "rooms"})
+        self.harness.publish("caller", "routing", {"share": 1, "class": "background"})
+        self.side = self.harness.add_upstream("up-1")
+        self.harness.service = "redacteurs"
+        self.engine = self.harness.add_upstream("up-2")
         self.ready = True
         self.server, self.port = runner.run(self._async_listen())
 
     async def _async_listen(self) -> tuple[HTTPServer, int]:
         tokens = TokenTable.of([(TOKEN, Identity("routing", Role.CALLER))])
         context = ProxyContext(
-            self.bench.clock,
-            self.bench.metrics,
-            self.bench.dispatcher,
-            self.bench.book,
+            self.harness.clock,
+            self.harness.metrics,
+            self.harness.dispatcher,
+            self.harness.book,
             tokens,
             lambda: self.ready,
             get_logger("test"),
@@ -83,97 +83,99 @@
 
 
 @pytest.fixture
-def surface() -> Iterator[Surface]:
-    """Return a surface that listens for the length of a test."""
+def proxy() -> Iterator[ProxyHarness]:
+    """Return a server that listens until the test ends."""
     with asyncio.Runner() as runner:
-        surface = Surface(runner)
-        yield surface
-        surface.server.stop()
+        proxy = ProxyHarness(runner)
+        yield proxy
+        proxy.server.stop()
 
 
-def test_path_and_query_pass_as_they_are(surface: Surface) -> None:
-    """An escaped slash stays one, and the query keeps its order."""
-    assert surface.call("/services/dossiers/a%2Fb/%C3%A9?y=1&x=%20").code == 200
-    assert surface.side.submits[0].path == "/a%2Fb/%C3%A9?y=1&x=%20"
+def test_path_and_query_are_forwarded_unchanged(proxy: ProxyHarness) -> None:
+    """An escaped slash is not decoded, and the query parameters are not reordered."""
+    assert proxy.call("/services/dossiers/a%2Fb/%C3%A9?y=1&x=%20").code == 200
+    assert proxy.side.submits[0].path == "/a%2Fb/%C3%A9?y=1&x=%20"
 
 
-def test_headers_of_ours_stay_here(surface: Surface) -> None:
-    """Our token names the caller and goes no further; another one is the upstream's."""
-    surface.call("/services/dossiers/x", Authorization=f"Bearer {TOKEN}", X_Deadline_Ms="500")
-    surface.call("/services/dossiers/x", Authorization="Bearer theirs")
-    names = [{name.lower() for name, _ in msg.headers} for msg in surface.side.submits]
+def test_headers_for_the_entry_are_not_forwarded(proxy: ProxyHarness) -> None:
+    """A valid caller token is removed; any other Authorization header is for the upstream."""
+    proxy.call("/services/dossiers/x", Authorization=f"Bearer {TOKEN}", X_Deadline_Ms="500")
+    proxy.call("/services/dossiers/x", Authorization="Bearer theirs")
+    names = [{name.lower() for name, _ in msg.headers} for msg in proxy.side.submits]
     assert "authorization" not in names[0]
     assert "x-deadline-ms" not in names[0]
     assert "authorization" in names[1]
 
 
-def test_a_record_bounds_a_callers_class(surface: Surface) -> None:
-    """A background caller that calls itself urgent stays in the background."""
-    surface.call("/services/dossiers/x", Authorization=f"Bearer {TOKEN}", X_Priority="application")
-    surface.call("/services/dossiers/x", X_Caller="other", X_Priority="trainer")
-    assert [msg.priority for msg in surface.side.submits] == [2, 1]
-
-
-def test_methods_decide_what_may_be_repeated(surface: Surface) -> None:
-    """POST is not idempotent unless the caller says so; a key is bound to its caller."""
-    surface.call("/services/dossiers/x", b"1")
-    surface.call("/services/dossiers/x", b"1", X_Idempotent="true")
-    surface.call("/services/dossiers/x", b"1", Idempotency_Key="k", X_Caller="one")
-    surface.call("/services/dossiers/x", b"1", Idempotency_Key="k", X_Caller="two")
-    assert [msg.idempotent for msg in surface.side.submits] == [False, True, False, False]
-    assert surface.side.submits[2].key != surface.side.submits[3].key
-
-
-def test_bad_requests_get_a_problem_and_reach_nobody(surface: Surface) -> None:
-    """Each names what is wrong, was not run, and is counted."""
-    cases = [
-        surface.call("/services/nothing/x"),
-        surface.call("/services/dossiers/x", X_Priority="urgent"),
-        surface.call("/services/dossiers/x", X_Deadline_Ms="soon"),
-        surface.call("/services/dossiers/x", X_Idempotent="maybe"),
-        surface.call("/services/dossiers/x", b"", Idempotency_Key="k" * 256),
-        surface.call("/v1/completions", b"{"),
-        surface.call("/v1/completions", {"prompt": "no model"}),
-        surface.call("/v1/completions", {"model": "rooms", "max_tokens": 0}),
-        surface.call("/v1/completions", {"model": "unknown"}),
+def test_callers_record_limits_its_priority_class(proxy: ProxyHarness) -> None:
+    """A caller configured as background cannot raise its priority with X-Priority."""
+    proxy.call("/services/dossiers/x", Authorization=f"Bearer {TOKEN}", X_Priority="application")
+    proxy.call("/services/dossiers/x", X_Caller="other", X_Priority="trainer")
+    assert [msg.priority for msg in proxy.side.submits] == [2, 1]
+
+
+def test_method_sets_the_default_of_idempotent(proxy: ProxyHarness) -> None:
+    """POST is idempotent only with X-Idempotent; an idempotency key is scoped to its caller."""
+    proxy.call("/services/dossiers/x", b"1")
+    proxy.call("/services/dossiers/x", b"1", X_Idempotent="true")
+    proxy.call("/services/dossiers/x", b"1", Idempotency_Key="k", X_Caller="one")
+    proxy.call("/services/dossiers/x", b"1", Idempotency_Key="k", X_Caller="two")
+    assert [msg.idempotent for msg in proxy.side.submits] == [False, True, False, False]
+    assert proxy.side.submits[2].key != proxy.side.submits[3].key
+
+
+def test_invalid_requests_get_a_problem_and_reach_no_upstream(proxy: ProxyHarness) -> None:
+    """Each problem states that the request was not run, and has a request id."""
+    responses = [
+        proxy.call("/services/nothing/x"),
+        proxy.call("/services/dossiers/x", X_Priority="urgent"),
+        proxy.call("/services/dossiers/x", X_Deadline_Ms="soon"),
+        proxy.call("/services/dossiers/x", X_Idempotent="maybe"),
+        proxy.call("/services/dossiers/x", b"", Idempotency_Key="k" * 256),
+        proxy.call("/v1/completions", b"{"),
+        proxy.call("/v1/completions", {"prompt": "no model"}),
+        proxy.call("/v1/completions", {"model": "rooms", "max_tokens": 0}),
+        proxy.call("/v1/completions", {"model": "unknown"}),
     ]
-    assert [answer.code for answer in cases] == [404, 400, 400, 400, 400, 400, 400, 400, 404]
-    problems = [json.loads(answer.body) for answer in cases]
+    assert [resp.code for resp in responses] == [404, 400, 400, 400, 400, 400, 400, 400, 404]
+    problems = [json.loads(response.body) for response in responses]
     assert {problem["ran"] for problem in problems} == {"no"}
     assert all(problem["request_id"] for problem in problems)
-    assert surface.side.submits == surface.engine.submits == []
+    assert proxy.side.submits == proxy.engine.submits == []
 
 
-def test_before_the_configuration_nothing_is_called_unknown(surface: Surface) -> None:
-    """A process that has just started says when to come back, not that there is no service."""
-    surface.ready = False
-    answer = surface.call("/services/dossiers/x")
-    assert answer.code == 503
-    assert answer.headers["Retry-After"]
-    assert json.loads(answer.body)["reason"] == "not_ready"
+def test_no_service_is_reported_unknown_before_the_configuration_is_loaded(
+    proxy: ProxyHarness,
+) -> None:
+    """An entry that has just started responds 503 with Retry-After instead of 404."""
+    proxy.ready = False
+    response = proxy.call("/services/dossiers/x")
+    assert response.code == 503
+    assert response.headers["Retry-After"]
+    assert json.loads(response.body)["reason"] == "not_ready"
 
 
-def test_a_completion_goes_to_the_models_service(surface: Surface) -> None:
-    """By the model's name; its tokens are the prompt's and those it may make."""
+def test_completion_is_forwarded_to_the_service_of_its_model(proxy: ProxyHarness) -> None:
+    """Its token count is that of the prompt, estimated at 4 characters each, plus max_tokens."""
     body = {"model": "rooms", "prompt": "x" * 40, "max_tokens": 100}
-    assert surface.call("/v1/completions", body).code == 200
-    assert (surface.engine.submits[0].path, surface.engine.submits[0].tokens) == (
+    assert proxy.call("/v1/completions", body).code == 200
+    assert (proxy.engine.submits[0].path, proxy.engine.submits[0].tokens) == (
         "/v1/completions",
         110,
     )
 
 
-def test_a_cut_answer_is_cut_for_the_caller_too(surface: Surface) -> None:
-    """The caller's connection ends early; it never reads a tidy end behind a part."""
-    surface.side.script = _cut
+def test_truncated_response_is_truncated_for_the_caller(proxy: ProxyHarness) -> None:
+    """The entry closes the connection early instead of ending the body as if it were complete."""
+    proxy.side.script = _send_truncated_response
     with pytest.raises(HTTPStreamClosedError):
-        surface.call("/services/dossiers/x")
+        proxy.call("/services/dossiers/x")
 
 
-def test_requests_and_answers_are_counted(surface: Surface) -> None:
-    """One of each, with its time."""
-    surface.call("/services/dossiers/x")
-    metrics = surface.bench.metrics
+def test_requests_and_responses_are_counted(proxy: ProxyHarness) -> None:
+    """One request increments the request and response counters and the latency histogram once."""
+    proxy.call("/services/dossiers/x")
+    metrics = proxy.harness.metrics
     assert metrics.value("cranberryline_requests_total", kind="service") == 1
     assert metrics.value("cranberryline_answers_total", kind="service") == 1
     assert metrics.value("cranberryline_request_seconds_count", kind="service") == 1
--- a/tests/failures/scenarios.py
+++ b/tests/failures/scenarios.py
@@ -1,4 +1,4 @@
-"""Faults brought about in a running deployment, and the promises that are counted afterwards."""
+"""Injects faults into a running deployment and counts the guarantees that were violated."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,12 +9,13 @@
 from stand_ins.deployment import DeploymentPlan, load_plan
 from stand_ins.launcher import Deployment, launched
 
-__all__ = ["BROKEN_COUNTS", "Scenario", "play"]
+__all__ = ["VIOLATION_COUNTS", "Scenario", "run_scenario"]
 
 Fault = Callable[[Deployment], None]
 
-# Each of these counts must be 0 whatever happens; the stand-ins count them, not the product.
-BROKEN_COUNTS = (
+# Each of these counts must be 0 under every fault. They are counted by the stand-ins for callers,
+# trainers and upstreams, independently of cranberryline itself.
+VIOLATION_COUNTS = (
     "duplicates",
     "lost",
     "over_staleness_bound",
@@ -29,7 +30,10 @@
 
 @attrs.frozen
 class Scenario:
-    """A load of some seconds, and what goes wrong when; times are from the start of the load."""
+    """A load of `seconds`, and the faults to inject; fault times are seconds after its start.
+
+    With `relayed`, the connections between processes go through a relay that can drop traffic.
+    """
 
     faults: tuple[tuple[float, Fault], ...]
     seconds: float = 7.0
@@ -37,11 +41,11 @@
     example: str = "giat-sach"
 
     def plan(self) -> DeploymentPlan:
-        """Return the deployment: two entries, three upstreams of each service."""
+        """Return the plan of a deployment with two entries and three upstreams of each service."""
         return load_plan(self.example).shrunk(3, entries=2, relayed=self.relayed)
 
 
-async def _async_faults(deployment: Deployment, scenario: Scenario) -> None:
+async def _async_inject_faults(deployment: Deployment, scenario: Scenario) -> None:
     elapsed = 0.0
     for at, fault in scenario.faults:
         await asyncio.sleep(at - elapsed)
@@ -49,17 +53,17 @@
         await asyncio.to_thread(fault, deployment)
 
 
-async def _async_play(deployment: Deployment, scenario: Scenario) -> dict[str, object]:
-    faults = asyncio.ensure_future(_async_faults(deployment, scenario))
+async def _async_run_scenario(deployment: Deployment, scenario: Scenario) -> dict[str, object]:
+    faults = asyncio.ensure_future(_async_inject_faults(deployment, scenario))
     load = await async_load(deployment, scenario.seconds)
     await faults
     return figures_of(deployment, load)
 
 
-def play(scenario: Scenario) -> dict[str, object]:
-    """Run a scenario and return what was counted outside of the product."""
+def run_scenario(scenario: Scenario) -> dict[str, object]:
+    """Run a scenario and return the counts of the stand-ins."""
     with launched(scenario.plan()) as deployment:
         try:
-            return asyncio.run(_async_play(deployment, scenario))
+            return asyncio.run(_async_run_scenario(deployment, scenario))
         finally:
             deployment.kill_all()
--- a/tests/failures/test_planned.py
+++ b/tests/failures/test_planned.py
@@ -1,4 +1,4 @@
-"""Planned stops and leaving upstreams under load, as callers and upstreams see them."""
+"""Planned shutdowns and the removal of upstreams under load, as seen by callers and upstreams."""
 
 import asyncio
 import threading
@@ -14,40 +14,40 @@
 from stand_ins.launcher import Deployment, call, launched
 from stand_ins.process import wait_for
 
-from .scenarios import BROKEN_COUNTS
+from .scenarios import VIOLATION_COUNTS
 
 SERVICE = "pickup-app"
-# The launcher's services have no `leave_seconds` of their own; this is the default.
+# The default of `leave_seconds`, which the records of the launcher's services do not set.
 LEAVE_SECONDS = 3.0
-LIST_LAG_S = 0.5
-# Out of step with the second after which the faults come, so that there is a time in which the
-# balancer still sends callers to an entry that has begun to stop.
+VM_LIST_DELAY_S = 0.5
+# Not a divisor of the 1 s after which the shutdown begins, so that the balancer keeps sending
+# requests for a while to an entry that is already shutting down.
 BALANCER_CHECK_S = 0.9
 
 
 @pytest.fixture
 def deployment() -> Iterator[Deployment]:
-    """Run three upstreams of each kind behind two entries."""
+    """Run a deployment of two entries and three upstreams of each service."""
     with launched(load_plan("giat-sach").shrunk(3, entries=2)) as deployment:
         yield deployment
         deployment.kill_all()
 
 
 class Balancer:
-    """Send callers to the entries whose /ready answers, as the platform's balancer does."""
+    """Sends requests to the entries whose /ready responds 200, like a load balancer."""
 
     def __init__(self, deployment: Deployment) -> None:
         self.statuses: list[int] = []
-        self.broken: list[str] = []
+        self.connection_errors: list[str] = []
         self._deployment = deployment
-        self._ready = list(deployment.entries)
+        self._ready_urls = list(deployment.entries)
         self._stop = threading.Event()
 
     @contextmanager
     def load(self, callers: int = 6) -> Iterator[None]:
-        """Keep callers asking for the length of a `with` block."""
-        threads = [threading.Thread(target=self._check)]
-        threads += [threading.Thread(target=self._ask, args=(n,)) for n in range(callers)]
+        """Run callers that send requests continuously until the `with` block ends."""
+        threads = [threading.Thread(target=self._check_readiness)]
+        threads += [threading.Thread(target=self._send_requests, args=(n,)) for n in range(callers)]
         for thread in threads:
             thread.start()
         yield
@@ -55,26 +55,26 @@
         for thread in threads:
             thread.join()
 
-    def _check(self) -> None:
+    def _check_readiness(self) -> None:
         while not self._stop.wait(BALANCER_CHECK_S):
-            self._ready = [url for url in self._deployment.entries if _is_ready(url)]
+            self._ready_urls = [url for url in self._deployment.entries if _is_ready(url)]
 
-    def _ask(self, caller: int) -> None:
+    def _send_requests(self, caller: int) -> None:
         number = 0
         while not self._stop.is_set():
             number += 1
-            ready, turn = self._ready, caller + number
-            url = f"{ready[turn % len(ready)]}/services/{SERVICE}/bookings/{caller}-{number}"
+            ready, index = self._ready_urls, caller + number
+            url = f"{ready[index % len(ready)]}/services/{SERVICE}/bookings/{caller}-{number}"
             try:
-                answer = call(url, {"create": number}, method="POST" if turn % 4 > 1 else "PUT")
+                response = call(url, {"create": number}, method="POST" if index % 4 > 1 else "PUT")
             except OSError as exc:
-                self.broken.append(repr(exc))
+                self.connection_errors.append(repr(exc))
                 continue
-            self.statuses.append(answer.status)
+            self.statuses.append(response.status)
 
 
 def _busiest(deployment: Deployment) -> str:
-    """Return the upstream that most of the load goes to: stopping an idle one proves nothing."""
+    """Return the upstream with the most requests; stopping an idle one would test nothing."""
     return max(deployment.upstreams(SERVICE), key=lambda name: len(deployment.journal(name)))
 
 
@@ -85,11 +85,11 @@
         return False
 
 
-def test_a_stopping_entry_cuts_no_request(deployment: Deployment) -> None:
-    """Callers see no cut, no refusal: the balancer is given time, and what runs is finished.
+def test_planned_shutdown_of_an_entry_fails_no_request(deployment: Deployment) -> None:
+    """An entry gets SIGTERM under load; no connection is broken and no request is rejected.
 
-    SIGTERM under load; readiness fails first, the port closes only after the balancer has looked,
-    and the process exits 0 once its last answer has left.
+    The readiness check fails first, the port is closed only after the load balancer has noticed,
+    and the process exits 0 once its last response has been sent.
     """
     for name in deployment.upstreams(SERVICE):
         deployment.control(name, latency_s=0.3)
@@ -99,12 +99,15 @@
         deployment.process("entry-1").terminate()
         assert deployment.process("entry-1").wait(15.0) == 0
         time.sleep(0.5)
-    assert balancer.broken == []
+    assert balancer.connection_errors == []
     assert set(balancer.statuses) == {200}
 
 
 def test_a_stopping_side_process_cuts_no_request(deployment: Deployment) -> None:
-    """Callers see no cut, no refusal: what was queued is vouched for and runs elsewhere."""
+    """A side process gets SIGTERM under load; no connection is broken and no request is rejected.
+
+    It reports its queued requests as not run, so that the entries retry them at other upstreams.
+    """
     for name in deployment.upstreams(SERVICE):
         deployment.control(name, latency_s=0.3)
     balancer = Balancer(deployment)
@@ -114,15 +117,16 @@
         side.terminate()
         assert side.wait(15.0) == 0
         time.sleep(1.0)
-    assert balancer.broken == []
+    assert balancer.connection_errors == []
     assert set(balancer.statuses) == {200}
 
 
-def test_a_drain_notice_holds_against_a_late_list(deployment: Deployment) -> None:
-    """No work reaches a draining upstream, though the VM list goes on calling it live.
+def test_drain_notice_takes_precedence_over_an_outdated_vm_list(deployment: Deployment) -> None:
+    """A draining upstream gets no new requests although the VM list still shows it as live.
 
-    The side process waits for a long run while it drains. The list is published again with the VM
-    as live: the notice must win, for work sent there would only come back refused.
+    The side process waits for a long request while it drains. The list is published again with the
+    VM as live. The drain notice must take precedence, since the side process would only reject
+    requests sent to it.
     """
     balancer = Balancer(deployment)
     with balancer.load():
@@ -135,15 +139,15 @@
         time.sleep(0.3)
         before = len(deployment.journal(name))
         deployment.set_vms()
-        time.sleep(LIST_LAG_S + 1.5)
+        time.sleep(VM_LIST_DELAY_S + 1.5)
         after = len(deployment.journal(name))
     assert after == before
-    assert balancer.broken == []
+    assert balancer.connection_errors == []
     assert set(balancer.statuses) == {200}
 
 
-def test_a_leaving_upstream_gets_no_new_work(deployment: Deployment) -> None:
-    """Within the configured seconds after the list says `leaving`, nothing new reaches it."""
+def test_leaving_upstream_gets_no_new_requests(deployment: Deployment) -> None:
+    """An upstream gets no new requests `leave_seconds` after the VM list shows it as `leaving`."""
     balancer = Balancer(deployment)
     with balancer.load():
         time.sleep(1.0)
@@ -152,15 +156,15 @@
         time.sleep(LEAVE_SECONDS)
         before = len(deployment.journal(name))
         deployment.set_vm_state(name, "live")
-        time.sleep(LIST_LAG_S + 1.5)
+        time.sleep(VM_LIST_DELAY_S + 1.5)
         after = len(deployment.journal(name))
     assert after == before
-    assert balancer.broken == []
+    assert balancer.connection_errors == []
     assert set(balancer.statuses) == {200}
 
 
-def test_a_restarted_side_process_gets_work_again(deployment: Deployment) -> None:
-    """The same VM with a new side process is used again, without any operator."""
+def test_restarted_side_process_gets_requests_again(deployment: Deployment) -> None:
+    """A VM whose side process was restarted is used again without an operator's action."""
     name = f"side-{SERVICE}-1"
     deployment.process(name).terminate()
     deployment.process(name).wait(15.0)
@@ -169,15 +173,15 @@
     balancer = Balancer(deployment)
     with balancer.load():
         wait_for(lambda: len(deployment.journal(f"{SERVICE}-1")) > before, "no work came back")
-    assert balancer.broken == []
+    assert balancer.connection_errors == []
 
 
-def test_a_stopping_entry_is_not_held_up_by_trainers(deployment: Deployment) -> None:
-    """The entry exits 0 within its bound while trainers go on, and they lose nothing.
+def test_trainers_do_not_delay_the_shutdown_of_an_entry(deployment: Deployment) -> None:
+    """An entry exits 0 within its timeout while trainers keep calling, and no sample is lost.
 
-    Each entry owns the steps of some trainers. Their calls keep coming, over connections that were
-    open already and by way of the other entry, which goes by a VM list that still shows the owner.
-    If they began steps anew on the one that stops, there would always be samples in flight.
+    Each entry owns the steps of some trainers. Their calls keep arriving over open connections and
+    forwarded by the other entry, whose VM list still shows the owner. If these calls started new
+    steps at the entry that is shutting down, it would always have samples in flight.
     """
     with ThreadPoolExecutor(1) as pool:
         load = pool.submit(lambda: asyncio.run(async_load(deployment, 12.0)))
@@ -190,4 +194,6 @@
         assert entries[1].wait(20.0) == 0
         deployment.restart("entry-2")
         figures = figures_of(deployment, load.result())
-    assert {count: figures[count] for count in BROKEN_COUNTS} == dict.fromkeys(BROKEN_COUNTS, 0)
+    assert {count: figures[count] for count in VIOLATION_COUNTS} == dict.fromkeys(
+        VIOLATION_COUNTS, 0
+    )
--- a/tests/failures/test_processes.py
+++ b/tests/failures/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes, killed, frozen and cut off under load; the stand-ins' own books must balance.
+"""Real processes that are killed, suspended or disconnected under load must violate no guarantee.
 
 Each scenario runs trainers and callers over two entries and three upstreams of each service.
 """
@@ -9,7 +9,7 @@
 
 from stand_ins.launcher import Deployment
 
-from .scenarios import BROKEN_COUNTS, Scenario, play
+from .scenarios import VIOLATION_COUNTS, Scenario, run_scenario
 
 ENGINE = "care-models-1"
 PLAIN = "pickup-app-1"
@@ -51,33 +51,33 @@
     return lambda deployment: deployment.control(name, **values)
 
 
-def _silence(deployment: Deployment) -> None:
+def _drop_traffic(deployment: Deployment) -> None:
     deployment.silence("*")
 
 
-def _silence_forth(deployment: Deployment) -> None:
+def _drop_requests(deployment: Deployment) -> None:
     deployment.silence("*", way="forth")
 
 
-def _silence_back(deployment: Deployment) -> None:
+def _drop_responses(deployment: Deployment) -> None:
     deployment.silence("*", way="back")
 
 
 SCENARIOS = {
-    # Whoever owns a step dies between two pulls; the other entry takes the step over.
+    # The owner of a step is killed between two pulls; the other entry takes over the step.
     "kill_entry_1": Scenario(((2.0, _kill("entry-1")), (3.0, _restart("entry-1")))),
     "kill_entry_2": Scenario(((2.0, _kill("entry-2")), (3.0, _restart("entry-2")))),
-    # The only process that could vouch for what it held dies with requests running.
+    # Side processes are killed while requests are running; only they know which of them have run.
     "kill_sides": Scenario(
         (
             (2.0, _kill(f"side-{ENGINE}", f"side-{PLAIN}")),
             (3.0, _restart(f"side-{ENGINE}", f"side-{PLAIN}")),
         )
     ),
-    # Engine and plain service die in the middle of answers; the engine forgets its weights.
+    # An engine and a plain service are killed during responses; the engine loses its weights.
     "kill_upstreams": Scenario(((2.0, _kill(ENGINE, PLAIN)), (3.0, _restart(ENGINE, PLAIN)))),
-    # Longer than the bound on silence: the entry goes elsewhere, then the side process wakes up
-    # with requests that were given up and orders that are old.
+    # Suspended for longer than the heartbeat timeout: the entry uses other upstreams, then the side
+    # process resumes with abandoned requests and outdated commands.
     "freeze_sides": Scenario(
         (
             (1.5, _freeze(f"side-{ENGINE}", f"side-{PLAIN}")),
@@ -85,7 +85,7 @@
         ),
         seconds=9.0,
     ),
-    # The owner of a step wakes up and still believes that the step is its own.
+    # The owner of a step resumes and still considers itself the owner.
     "freeze_entry": Scenario(((1.5, _freeze("entry-1")), (6.5, _thaw("entry-1"))), seconds=9.0),
     "log_refuses": Scenario(((1.5, _control("log", outage="refuse")),)),
     "log_silent": Scenario(
@@ -94,9 +94,9 @@
     "log_loses_answers": Scenario(
         tuple((1.0 + n * 0.4, _control("log", lose_answers=3)) for n in range(8))
     ),
-    # A swap fails half way: the engine serves it does not know what, and says so.
+    # A weight swap fails halfway: the engine reports that its weight version is unknown.
     "swaps_fail": Scenario(tuple((0.5 + n, _control(ENGINE, fail_swaps=2)) for n in range(5))),
-    # Old authority meets an engine that takes any order.
+    # A side process with an outdated lease resumes, and the engine does not check fencing tokens.
     "no_fence_and_freeze": Scenario(
         (
             (0.0, _control(ENGINE, check_fence=False)),
@@ -112,13 +112,14 @@
             (2.0, _control(ENGINE, cut_streams=10)),
         )
     ),
-    # Every open connection between our processes goes silent; new ones work.
-    "connections_silent": Scenario(((2.0, _silence),), seconds=9.0, relayed=True),
-    # Requests arrive and run, and their answers are lost on the way back.
-    "answers_silent": Scenario(((2.0, _silence_back),), seconds=9.0, relayed=True),
-    # Answers still come, and nothing that the entries send arrives any more.
-    "requests_silent": Scenario(((2.0, _silence_forth),), seconds=9.0, relayed=True),
-    # In pairs.
+    # All open connections between cranberryline processes drop traffic in both directions; new
+    # connections work.
+    "connections_silent": Scenario(((2.0, _drop_traffic),), seconds=9.0, relayed=True),
+    # Requests arrive and run, but their responses are lost.
+    "answers_silent": Scenario(((2.0, _drop_responses),), seconds=9.0, relayed=True),
+    # Responses still arrive, but nothing that the entries send does.
+    "requests_silent": Scenario(((2.0, _drop_requests),), seconds=9.0, relayed=True),
+    # Combinations of two faults.
     "kill_entry_without_log": Scenario(
         (
             (1.5, _control("log", outage="refuse")),
@@ -136,14 +137,18 @@
         ),
         seconds=9.0,
     ),
-    "silent_twice": Scenario(((1.5, _silence), (5.5, _silence)), seconds=11.0, relayed=True),
+    "silent_twice": Scenario(
+        ((1.5, _drop_traffic), (5.5, _drop_traffic)), seconds=11.0, relayed=True
+    ),
 }
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_promises_hold(name: str) -> None:
-    """Callers and trainers are told nothing false, and the work goes on after the fault."""
-    figures = play(SCENARIOS[name])
-    assert {count: figures[count] for count in BROKEN_COUNTS} == dict.fromkeys(BROKEN_COUNTS, 0)
+def test_no_guarantee_is_violated(name: str) -> None:
+    """Callers and trainers get no wrong result, and work continues after the fault."""
+    figures = run_scenario(SCENARIOS[name])
+    assert {count: figures[count] for count in VIOLATION_COUNTS} == dict.fromkeys(
+        VIOLATION_COUNTS, 0
+    )
     assert figures["steps"]
     assert figures["answers_whole"]
