--- a/bench/capacity/config.py
+++ b/bench/capacity/config.py
@@ -21,7 +21,7 @@
 from cranberryline.decisions import rendezvous
 from cranberryline.entry.config_sync import EntryConfigSync
 from cranberryline.entry.mesh import MAX_FULL_MESH, TAILERS_DIALLED
-from cranberryline.entry.rollouts import FoldRollouts
+from cranberryline.entry.rollouts import FoldRolloutConfig
 from cranberryline.helpers.clock import SystemClock
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.ports.errors import PlatformError
@@ -259,7 +259,7 @@
     for _ in range(20):
         fold.services()
     read = time.process_time()
-    rollouts = FoldRollouts(fold)
+    rollouts = FoldRolloutConfig(fold)
     for _ in range(20):
         rollouts.limits(_TRAINER, "service-0")
     looked_up = time.process_time()
--- a/cranberryline/entry/app.py
+++ b/cranberryline/entry/app.py
@@ -55,7 +55,7 @@
 from .notices import MemberNotices
 from .operators import OperatorContext, PeerStatus, operator_routes
 from .proxy import ProxyContext
-from .rollouts import DispatcherSamples, FoldRollouts, MeshOwners, NoScores
+from .rollouts import FoldRolloutConfig, MeshStepOwners, SampleDispatcher, ZeroScorer
 from .trainer_handlers import trainer_routes
 from .trainers import TrainerService
 
@@ -130,17 +130,17 @@
             clock, random.Random(), self.table, self.book, self.metrics, cfg.data_center
         )
         self.tokens = tokens
-        scorer = NoScores() if cfg.scorer_url is None else HttpScorer(cfg.scorer_url)
-        rollouts = FoldRollouts(self.sync.fold)
+        scorer = ZeroScorer() if cfg.scorer_url is None else HttpScorer(cfg.scorer_url)
+        rollouts = FoldRolloutConfig(self.sync.fold)
         ports = RunnerPorts(
-            DispatcherSamples(self.dispatcher, self.book, clock),
+            SampleDispatcher(self.dispatcher, self.book, clock),
             scorer,
             SlowestFirst(),
             self.metrics,
             clock,
         )
         self.steps = StepTable(ports, rollouts)
-        owners = MeshOwners(cfg.vm_id, self.mesh, self._live_entries)
+        owners = MeshStepOwners(cfg.vm_id, self.mesh, self._live_entries)
         self.trainers = TrainerService(self.steps, rollouts, owners)
         self.members.listen(self._on_members)
         self.sync.fold.listen(self._on_revision)
@@ -304,7 +304,7 @@
             fold=self.sync.fold,
             publisher=ConfigPublisher(self.log, self.sync, self._clock),
             metrics=self.metrics,
-            current=lambda: self.sync.current,
+            is_config_current=lambda: self.sync.current,
             peers=self._peer_status,
             tokens=self.tokens,
         )
@@ -341,7 +341,7 @@
             clock=self._clock,
             metrics=self.metrics,
             dispatcher=self.dispatcher,
-            book=self.book,
+            catalog=self.book,
             tokens=self.tokens,
             ready=lambda: self.sync.current,
             log=once_per_burst("cranberryline.entry.proxy", self._clock),
--- a/cranberryline/entry/operators.py
+++ b/cranberryline/entry/operators.py
@@ -69,16 +69,16 @@
 class OperatorContext:
     """The dependencies of the operators' endpoints.
 
-    `current` returns whether the configuration has been loaded and is up to date. `peers` returns
-    the status of every other process in the VM list. `tokens` is None only in tests of this
-    module; the endpoints then require no authentication.
+    `is_config_current` returns whether the configuration has been loaded and is up to date.
+    `peers` returns the status of every other process in the VM list. `tokens` is None only in
+    tests of this module; the endpoints then require no authentication.
     """
 
     vm_id: str
     fold: ConfigFold
     publisher: ConfigPublisher
     metrics: Metrics
-    current: Callable[[], bool]
+    is_config_current: Callable[[], bool]
     peers: Callable[[], list[PeerStatus]]
     tokens: TokenTable | None
 
@@ -144,7 +144,7 @@
 
     def get(self) -> None:
         """List the current records, optionally of one kind only."""
-        if not self._context.current():
+        if not self._context.is_config_current():
             self.refuse(503, REASON_NOT_READY, "the configuration has not been loaded yet")
             return
         wanted = self.get_query_argument(ARG_KIND, "")
@@ -214,7 +214,7 @@
         self.finish(
             {
                 "vm_id": self._context.vm_id,
-                "current": self._context.current(),
+                "current": self._context.is_config_current(),
                 "config_offset": fold.offset,
                 "checkpoint_as_of": fold.checkpoint.as_of,
                 "weights": _weights_data(fold),
--- a/cranberryline/entry/proxy.py
+++ b/cranberryline/entry/proxy.py
@@ -67,7 +67,7 @@
     clock: Clock
     metrics: Metrics
     dispatcher: Dispatcher
-    book: ServiceCatalog
+    catalog: ServiceCatalog
     tokens: TokenTable
     ready: Callable[[], bool]
     log: Logger
@@ -197,7 +197,7 @@
 
         It is never more urgent than the class in the caller's configuration record.
         """
-        spec = self.context.book.caller(self.caller)
+        spec = self.context.catalog.caller(self.caller)
         most_urgent = CallerClass.APPLICATION
         if spec is not None:
             most_urgent = CallerClass[spec.caller_class.name]
@@ -220,7 +220,7 @@
         return Ok(self.context.clock.monotonic() + timedelta(milliseconds=int(text)))
 
     def _timeout(self, service: str) -> timedelta:
-        return timedelta(seconds=self.context.book.spec(service).timeout_seconds)
+        return timedelta(seconds=self.context.catalog.spec(service).timeout_seconds)
 
     def read_idempotent(self, default: bool) -> Result[bool, Refusal]:
         """Return whether the request is idempotent, from X-Idempotent or `default`."""
@@ -233,7 +233,7 @@
         self, service: str, path: str, idempotent: bool, tokens: int = 0, prefix: str = ""
     ) -> Result[CallerRequest, Refusal]:
         """Validate the headers and build the request, or return why it is rejected."""
-        if not self.context.book.has_service(service):
+        if not self.context.catalog.has_service(service):
             return Err(Refusal(RefusalReason.UNKNOWN_SERVICE, detail=service[:100]))
         caller_class, deadline = self.read_caller_class(), self.read_deadline(service)
         is_idempotent = self.read_idempotent(idempotent)
@@ -326,7 +326,7 @@
         max_tokens = body.get("max_tokens", DEFAULT_MAX_TOKENS)
         if not isinstance(max_tokens, int) or isinstance(max_tokens, bool) or max_tokens < 1:
             return Err(_bad_request("max_tokens must be a whole number above 0"))
-        service = self.context.book.service_for_model(body["model"])
+        service = self.context.catalog.service_for_model(body["model"])
         if service is None:
             return Err(Refusal(RefusalReason.UNKNOWN_SERVICE, detail=body["model"][:100]))
         prompt = _prompt_text(body)
--- a/cranberryline/entry/rollouts.py
+++ b/cranberryline/entry/rollouts.py
@@ -28,9 +28,9 @@
 
 from .mesh import EntryMesh
 from .proxy import CHARS_PER_TOKEN, HEADER_REQUEST_ID, PREFIX_CHARS
-from .trainers import OwnerPort
+from .trainers import StepOwnerPort
 
-__all__ = ["DispatcherSamples", "FoldRollouts", "MeshOwners", "NoScores"]
+__all__ = ["FoldRolloutConfig", "MeshStepOwners", "SampleDispatcher", "ZeroScorer"]
 
 _COMPLETIONS_PATH = "/v1/completions"
 STATUS_OK = 200
@@ -61,19 +61,19 @@
         self.stream.feed(data)
 
 
-class DispatcherSamples(SampleDispatch):
+class SampleDispatcher(SampleDispatch):
     """Queues completions in the dispatcher with all other requests, in class `trainer`."""
 
-    def __init__(self, dispatcher: Dispatcher, book: ServiceCatalog, clock: Clock) -> None:
+    def __init__(self, dispatcher: Dispatcher, catalog: ServiceCatalog, clock: Clock) -> None:
         self._dispatcher = dispatcher
-        self._book = book
+        self._catalog = catalog
         self._clock = clock
 
     async def async_complete(
         self, req: SampleRequest, on_dispatched: Callable[[str], None]
     ) -> Result[Completion, DispatchError]:
         """Return a complete, attributed completion; cancelling the call cancels the request."""
-        if not self._book.has_service(req.service):
+        if not self._catalog.has_service(req.service):
             return Err(DispatchError(DiscardReason.FAILED, "the service is not configured"))
         sink = _SampleSink(on_dispatched)
         result = await self._dispatcher.async_run(self._request(req), sink)
@@ -90,7 +90,7 @@
         return Ok(finished.unwrap())
 
     def _request(self, req: SampleRequest) -> CallerRequest:
-        spec = self._book.spec(req.service)
+        spec = self._catalog.spec(req.service)
         body = {
             "model": spec.model or req.service,
             "prompt": req.prompt,
@@ -120,7 +120,7 @@
         )
 
 
-class FoldRollouts(RolloutConfig):
+class FoldRolloutConfig(RolloutConfig):
     """Reads the limits of trainers from the current configuration."""
 
     def __init__(self, fold: ConfigFold) -> None:
@@ -136,7 +136,7 @@
         return RolloutLimits(newest, spec.staleness_bound, spec.max_in_flight, spec.freshness)
 
 
-class MeshOwners(OwnerPort):
+class MeshStepOwners(StepOwnerPort):
     """Chooses the owner of a trainer's steps by rendezvous hashing over the live entries.
 
     Two entries with different member lists may both consider themselves the owner. The trainer's
@@ -148,20 +148,20 @@
         self._mesh = mesh
         self._live = live
 
-    def owner_of(self, trainer: str) -> str | None:
+    def find_owner(self, trainer: str) -> str | None:
         """Return the owner's entry id, or None when it is this entry."""
         owner = rendezvous.rank(trainer, {*self._live(), self._vm_id})[0]
         return None if owner == self._vm_id else owner
 
     async def async_forward(
-        self, entry_id: str, method: str, path: str, body: bytes, budget: timedelta
+        self, entry_id: str, method: str, path: str, body: bytes, timeout: timedelta
     ) -> Result[tuple[int, bytes], Any]:
         """Forward a call; an error means that the owner did not respond."""
-        result = await self._mesh.async_request(entry_id, method, path, body, budget)
+        result = await self._mesh.async_request(entry_id, method, path, body, timeout)
         return result.map(lambda reply: (reply.status, reply.body))
 
 
-class NoScores(ScorePort):
+class ZeroScorer(ScorePort):
     """Scores every sample with 0, used when no scorer is configured."""
 
     async def async_score(self, sample: dict[str, Any]) -> Result[float, PlatformError]:
--- a/cranberryline/entry/trainers.py
+++ b/cranberryline/entry/trainers.py
@@ -25,7 +25,7 @@
 from cranberryline.samples.table import StepTable
 
 __all__ = [
-    "OwnerPort",
+    "StepOwnerPort",
     "TrainerResponse",
     "TrainerService",
 ]
@@ -52,11 +52,11 @@
 _STATUS_BY_CURSOR_REASON = {CursorReason.OTHER_STEP: 409}
 
 
-class OwnerPort(abc.ABC):
+class StepOwnerPort(abc.ABC):
     """Port that finds the entry that owns a trainer's steps and forwards calls to it."""
 
     @abc.abstractmethod
-    def owner_of(self, trainer: str) -> str | None:
+    def find_owner(self, trainer: str) -> str | None:
         """Return the owner's entry id, or None when it is this entry."""
 
     @abc.abstractmethod
@@ -118,7 +118,7 @@
     the call itself.
     """
 
-    def __init__(self, table: StepTable, config: RolloutConfig, owners: OwnerPort) -> None:
+    def __init__(self, table: StepTable, config: RolloutConfig, owners: StepOwnerPort) -> None:
         self._table = table
         self._config = config
         self._owners = owners
@@ -138,7 +138,7 @@
     async def async_declare(self, trainer: str, step: int, body: bytes) -> TrainerResponse:
         """Declare a step at its owner, or locally if the owner cannot be reached."""
         path = f"/trainers/{trainer}/steps/{step}"
-        owner = self._owners.owner_of(trainer)
+        owner = self._owners.find_owner(trainer)
         if owner is not None:
             response = await self._async_forward(owner, "PUT", path, body, DECLARE_FORWARD_TIMEOUT)
             if response is not None:
@@ -150,7 +150,7 @@
         pull = parse_pull(body)
         if isinstance(pull, TrainerResponse):
             return pull
-        owner = self._owners.owner_of(trainer)
+        owner = self._owners.find_owner(trainer)
         if owner is not None and not self._table.closed:
             path = f"/trainers/{trainer}/pull"
             timeout = pull.pull.wait + FORWARD_TIMEOUT_MARGIN
--- a/tests/client/test_trainer_client.py
+++ b/tests/client/test_trainer_client.py
@@ -18,7 +18,7 @@
 from cranberryline.client import ClientReason, Group, PulledBatch, ReceivedSample, TrainerClient
 from cranberryline.client.model import read_batch
 from cranberryline.entry.trainer_handlers import trainer_routes
-from cranberryline.entry.trainers import OwnerPort, TrainerService
+from cranberryline.entry.trainers import StepOwnerPort, TrainerService
 from cranberryline.helpers.clock import SystemClock
 from cranberryline.helpers.metrics import Metrics
 from cranberryline.helpers.problem import write_problem
@@ -33,7 +33,7 @@
 WAIT = timedelta(seconds=1)
 
 
-class Owners(OwnerPort):
+class Owners(StepOwnerPort):
     """Name the owner and pass calls on within this process, unless it can't be reached."""
 
     def __init__(self, me: str) -> None:
@@ -42,12 +42,12 @@
         self.reachable = True
         self.services: dict[str, TrainerService] = {}
 
-    def owner_of(self, trainer: str) -> str | None:
+    def find_owner(self, trainer: str) -> str | None:
         """Return the owner."""
         return None if self.owner == self.me else self.owner
 
     async def async_forward(
-        self, entry_id: str, method: str, path: str, body: bytes, budget: timedelta
+        self, entry_id: str, method: str, path: str, body: bytes, timeout: timedelta
     ) -> Result[tuple[int, bytes], Any]:
         """Pass a call on."""
         if not self.reachable:
