--- a/cranberryline/entry/trainers.py
+++ b/cranberryline/entry/trainers.py
@@ -128,8 +128,8 @@
         """Stop all steps, and respond to pending pulls, both local and forwarded ones.
 
         Waiting for a forwarded pull would delay the shutdown by up to the pull's wait, and closing
-        its connection without a response would make this entry look broken. The trainer loses no
-        samples, since it pulls again with the same cursor.
+        its connection without a response would make the trainer treat this entry as failed. The
+        trainer loses no samples, since it pulls again with the same cursor.
         """
         await self._table.async_close()
         for call in list(self._pending_forwards):
--- a/tests/failures/scenarios.py
+++ b/tests/failures/scenarios.py
@@ -22,9 +22,9 @@
     "wrong_version",
     "wrong_score",
     "answers_wrong",
-    "double_runs",
-    "ran_though_refused",
-    "not_run_though_told",
+    "double_runs",  # a request that may run only once ran several times
+    "ran_though_refused",  # reported with ran=no although it ran
+    "not_run_though_told",  # reported with ran=yes although it did not run
 )
 
 
