--- a/cranberryline/entry/app.py
+++ b/cranberryline/entry/app.py
@@ -55,7 +55,7 @@
 from .notices import MemberNotices
 from .operators import OperatorContext, PeerStatus, operator_routes
 from .proxy import ProxyContext
-from .rollouts import DispatcherSamples, FoldRollouts, MeshOwners, NoScores
+from .rollouts import FoldRolloutConfig, MeshStepOwners, SampleDispatcher, ZeroScorer
 from .trainer_handlers import trainer_routes
 from .trainers import TrainerService
 
@@ -132,17 +132,17 @@
             clock, random.Random(), self.table, self.catalog, self.metrics, cfg.data_center
         )
         self.tokens = tokens
-        scorer = NoScores() if cfg.scorer_url is None else HttpScorer(cfg.scorer_url)
-        rollouts = FoldRollouts(self.config_sync.fold)
+        scorer = ZeroScorer() if cfg.scorer_url is None else HttpScorer(cfg.scorer_url)
+        rollouts = FoldRolloutConfig(self.config_sync.fold)
         ports = RunnerPorts(
-            DispatcherSamples(self.dispatcher, self.catalog, clock),
+            SampleDispatcher(self.dispatcher, self.catalog, clock),
             scorer,
             SlowestFirst(),
             self.metrics,
             clock,
         )
         self.step_table = StepTable(ports, rollouts)
-        owners = MeshOwners(cfg.vm_id, self.mesh, self._live_entries)
+        owners = MeshStepOwners(cfg.vm_id, self.mesh, self._live_entries)
         self.trainers = TrainerService(self.step_table, rollouts, owners)
         self.members.listen(self._on_members)
         self.config_sync.fold.listen(self._on_revision)
@@ -307,7 +307,7 @@
             fold=self.config_sync.fold,
             publisher=ConfigPublisher(self.log, self.config_sync, self._clock),
             metrics=self.metrics,
-            current=lambda: self.config_sync.current,
+            is_config_current=lambda: self.config_sync.current,
             peers=self._peer_status,
             tokens=self.tokens,
         )
@@ -344,7 +344,7 @@
             clock=self._clock,
             metrics=self.metrics,
             dispatcher=self.dispatcher,
-            book=self.catalog,
+            catalog=self.catalog,
             tokens=self.tokens,
             ready=lambda: self.config_sync.current,
             log=once_per_burst("cranberryline.entry.proxy", self._clock),
