--- a/cranberryline/configs/envelope.py
+++ b/cranberryline/configs/envelope.py
@@ -110,7 +110,7 @@
     if amendment.schema not in known:
         allowed = "one of " + ", ".join(str(version) for version in known)
         detail = (
-            f"schema {amendment.schema} of kind {amendment.kind.value} is not supported; "
+            f"schema {amendment.schema} of kind {amendment.kind.value} is not known here; "
             f"known: {', '.join(str(version) for version in known)}"
         )
         mistake = Mistake(ATTR_SCHEMA, amendment.schema, allowed)
--- a/cranberryline/entry/app.py
+++ b/cranberryline/entry/app.py
@@ -320,7 +320,7 @@
             return True
         refusal = token_check.err() or TokenRefusal.WRONG_ROLE
         self.metrics.refuse(refusal.value)
-        write_problem(handler, refusal.status, refusal.value, "this trainer's token is required")
+        write_problem(handler, refusal.status, refusal.value, "this trainer's token is needed")
         return False
 
     def _peer_status(self) -> list[PeerStatus]:
--- a/cranberryline/entry/http.py
+++ b/cranberryline/entry/http.py
@@ -40,7 +40,7 @@
 
     def prepare(self) -> None:
         """Return a 404 problem document."""
-        write_problem(self, STATUS_NOT_FOUND, "unknown_path", "the path does not exist")
+        write_problem(self, STATUS_NOT_FOUND, "unknown_path", "there is no such path")
 
 
 def listen_http(
--- a/cranberryline/entry/operators.py
+++ b/cranberryline/entry/operators.py
@@ -41,9 +41,9 @@
     PublishReason.LOG_UNAVAILABLE: 503,
 }
 TITLE_BY_REASON = {
-    PublishReason.CONFLICT: "the record has a newer revision",
-    PublishReason.INVALID: "the record is not valid",
-    PublishReason.UNKNOWN_SCHEMA: "the record's schema version is not supported by this release",
+    PublishReason.CONFLICT: "the record was amended in the meantime",
+    PublishReason.INVALID: "the record has mistakes",
+    PublishReason.UNKNOWN_SCHEMA: "the record's schema version is not known here",
     PublishReason.LOG_UNAVAILABLE: "the log service did not confirm the record",
 }
 
@@ -100,7 +100,7 @@
         )
         if isinstance(checked, Err):
             refusal = checked.err_value
-            self.refuse(refusal.status, refusal.value, "an operator token is required")
+            self.refuse(refusal.status, refusal.value, "an operator's token is needed")
             return
         self._operator_name = checked.ok_value
 
@@ -117,7 +117,7 @@
         self.refuse(
             404,
             REASON_UNKNOWN_KIND,
-            "unknown record kind",
+            "there is no such kind of record",
             detail="known kinds: " + ", ".join(kind.value for kind in kinds),
         )
         return None
@@ -145,7 +145,7 @@
     def get(self) -> None:
         """List the current records, optionally of one kind only."""
         if not self._context.is_config_current():
-            self.refuse(503, REASON_NOT_READY, "the configuration has not been loaded yet")
+            self.refuse(503, REASON_NOT_READY, "the configuration is not known yet")
             return
         wanted = self.get_query_argument(ARG_KIND, "")
         kind = self.read_kind(wanted) if wanted else None
@@ -157,7 +157,7 @@
 
     def _read_body(self) -> dict[str, Any] | None:
         if len(self.request.body) > MAX_BODY_BYTES:
-            self.refuse(413, "body_too_large", f"a record must not exceed {MAX_BODY_BYTES} bytes")
+            self.refuse(413, "body_too_large", f"a record has at most {MAX_BODY_BYTES} bytes")
             return None
         try:
             data = json.loads(self.request.body)
@@ -196,7 +196,7 @@
         fold = self._context.fold
         rows = [revision.as_dict() for revision in fold.history(record_kind, name)]
         if not rows:
-            self.refuse(404, REASON_UNKNOWN_RECORD, f"this entry has read no record {kind}/{name}")
+            self.refuse(404, REASON_UNKNOWN_RECORD, f"no record {kind}/{name} was seen here")
             return
         self.finish({"current_revision": fold.current_revision(record_kind, name), "records": rows})
 
--- a/cranberryline/entry/trainers.py
+++ b/cranberryline/entry/trainers.py
@@ -48,7 +48,7 @@
 RETRY_AFTER_FULL = timedelta(seconds=5)
 RETRY_AFTER_STOPPING = timedelta(seconds=1)
 
-_ALLOWED_CURSOR = "the next_cursor of the last response, or an empty string"
+_ALLOWED_CURSOR = "the text of the last next_cursor, or an empty text"
 _STATUS_BY_CURSOR_REASON = {CursorReason.OTHER_STEP: 409}
 
 
@@ -178,7 +178,7 @@
                 if isinstance(pull, TrainerResponse):
                     return pull
                 return await self._async_pull_locally(trainer, pull, is_owner=True)
-        return TrainerResponse(404, reason=REASON_NOT_FOUND, title="Unknown trainer endpoint")
+        return TrainerResponse(404, reason=REASON_NOT_FOUND, title="No such trainer's call")
 
     def _declare_locally(
         self, trainer: str, step: int, body: bytes, is_owner: bool
@@ -318,14 +318,14 @@
     return TrainerResponse(
         404,
         reason=REASON_NOT_CONFIGURED,
-        title="The trainer or its service is not configured",
+        title="No configuration in force for this trainer and service",
         detail=f"publish records for {declaration.trainer} and {declaration.service}",
     )
 
 
 def _cursor_error_response(error: CursorError) -> TrainerResponse:
     status = _STATUS_BY_CURSOR_REASON.get(error.reason, 400)
-    title = "The cursor is not valid for this step"
+    title = "The cursor is not one of this step"
     return TrainerResponse(status, reason=error.reason.value, title=title, detail=error.detail)
 
 
@@ -333,12 +333,12 @@
     if isinstance(refusal, CursorError):
         return _cursor_error_response(refusal)
     if refusal is StepRefusal.STOPPING:
-        title = "This entry is shutting down"
+        title = "This entry stops"
         return TrainerResponse(
             503, reason=refusal.value, title=title, retry_after=RETRY_AFTER_STOPPING
         )
     if refusal is StepRefusal.TOO_MANY_STEPS:
-        title = "This entry has reached its limit of active steps"
+        title = "This entry works on too many steps"
         return TrainerResponse(503, reason=refusal.value, title=title, retry_after=RETRY_AFTER_FULL)
-    title = "The step was already declared with different groups"
+    title = "The step was declared with other groups"
     return TrainerResponse(409, reason=refusal.value, title=title)
--- a/cranberryline/gateway/holds.py
+++ b/cranberryline/gateway/holds.py
@@ -102,7 +102,7 @@
         if released is None:
             self._write_unknown_request()
         elif not released:
-            title = "released at this gateway; the others follow when the store is available again"
+            title = "released at this gateway; the others hear of it when the store is back"
             status = HTTPStatus.SERVICE_UNAVAILABLE
             write_problem(self, status, "store_unavailable", title, ran="unknown")
         else:
--- a/cranberryline/gateway/job_handler.py
+++ b/cranberryline/gateway/job_handler.py
@@ -29,9 +29,7 @@
     async def _async_submit_job(self, call: PlainCall, host: str) -> None:
         ctx = self.context
         if self.request.method != "POST":
-            self._refuse(
-                HTTPStatus.BAD_REQUEST, "bad_request", detail="jobs are submitted with POST"
-            )
+            self._refuse(HTTPStatus.BAD_REQUEST, "bad_request", detail="a job is submitted by POST")
             return
         now = ctx.clock.now().timestamp()
         job = ctx.edge.read_job(call.request_id, host, self.request.path, self.request.body, now)
--- a/cranberryline/gateway/relay.py
+++ b/cranberryline/gateway/relay.py
@@ -205,7 +205,7 @@
             task.cancel()
 
     async def _async_answer(self, call: RelayAppend | RelayRead | RelayNewest) -> RelayAnswer:
-        answer = RelayAnswer(StoreProblem.REFUSED.value, "peer cannot reach the store either")
+        answer = RelayAnswer(StoreProblem.REFUSED.value, "peer has no store either")
         if not self.direct_unavailable(*_partition_of(call)):
             answer = await _async_execute(self.direct, call)
         if not answer.problem or StoreProblem(answer.problem) in _FINAL_PROBLEMS:
--- a/cranberryline/samples/cursor.py
+++ b/cranberryline/samples/cursor.py
@@ -71,7 +71,7 @@
         return Ok(Cursor.start(declaration))
     payload = _decode_payload(token)
     if payload is None:
-        return _malformed("it is not a cursor, or it is corrupted")
+        return _malformed("it is no cursor, or was damaged")
     if payload[0] != CURSOR_FORMAT_VERSION:
         return Err(CursorError(CursorReason.UNKNOWN_VERSION, f"format version {payload[0]}"))
     _, step, digest, size = _HEADER.unpack_from(payload)
@@ -79,11 +79,11 @@
     # With another declaration, the positions refer to other samples, which would be skipped.
     if (step, digest, size) != expected:
         return Err(
-            CursorError(CursorReason.OTHER_STEP, f"it belongs to step {step}, or the groups differ")
+            CursorError(CursorReason.OTHER_STEP, f"it belongs to step {step}, or its groups differ")
         )
     received = _decode_bitmap(payload[_HEADER.size : -_CHECKSUM.size], size)
     if received is None:
-        return _malformed("its bitmap does not match the size of the step")
+        return _malformed("its set of samples does not fit the step")
     return Ok(Cursor(step, digest, size, received))
 
 
--- a/cranberryline/samples/declaration.py
+++ b/cranberryline/samples/declaration.py
@@ -29,7 +29,7 @@
             return result
         read.append(result.unwrap())
     if sum(group.n for group in read) > MAX_SAMPLES_PER_STEP:
-        return Err(DeclarationError("groups", f"at most {MAX_SAMPLES_PER_STEP} samples in total"))
+        return Err(DeclarationError("groups", f"{MAX_SAMPLES_PER_STEP} samples at most"))
     return Ok(StepDeclaration(trainer, step, service, tuple(read)))
 
 
@@ -38,9 +38,9 @@
         return Err(DeclarationError(field, "a JSON object"))
     prompt = data.get("prompt")
     if not isinstance(prompt, str) or not prompt:
-        return Err(DeclarationError(f"{field}.prompt", "a non-empty string"))
+        return Err(DeclarationError(f"{field}.prompt", "a text that is not empty"))
     for name, limit in (("n", MAX_SAMPLES_PER_STEP), ("max_tokens", MAX_TOKENS_PER_SAMPLE)):
         value = data.get(name)
         if type(value) is not int or not 0 < value <= limit:
-            return Err(DeclarationError(f"{field}.{name}", f"an integer from 1 to {limit}"))
+            return Err(DeclarationError(f"{field}.{name}", f"a whole number from 1 to {limit}"))
     return Ok(GroupDeclaration(prompt, data["n"], data["max_tokens"]))
