--- a/cranberryline/configs/fold.py
+++ b/cranberryline/configs/fold.py
@@ -1,4 +1,7 @@
-"""The deterministic fold of the configuration stream that every process runs."""
+"""Deterministic fold of the configuration stream into the configuration in force.
+
+Every process runs the same fold over the same log, so all reach the same state.
+"""
 
 from collections import Counter, OrderedDict, deque
 from collections.abc import Callable
@@ -32,7 +35,7 @@
     snapshot_data,
 )
 
-__all__ = ["Applied", "ConfigFold", "Verdict"]
+__all__ = ["Applied", "ApplyResult", "ConfigFold"]
 
 Key = tuple[Kind, str]
 Listener = Callable[[Revision], None]
@@ -40,21 +43,25 @@
 
 @attrs.frozen
 class Applied:
-    """A record that was folded; `revision` is None for a checkpoint, which changes nothing."""
+    """Result of folding a valid record.
+
+    `revision` is None for a checkpoint, which changes no configuration. `digest_matches` is False
+    for a checkpoint whose digest differs from the digest of this process at the same offset.
+    """
 
     offset: int
     revision: Revision | None
     digest_matches: bool = True
 
 
-Verdict = Result[Applied, Rejected]
+ApplyResult = Result[Applied, Rejected]
 
 
 class ConfigFold:
-    """Fold records in log order into the configuration in force.
+    """Folds records in log order into the configuration in force.
 
-    The offset never goes down and never skips a record. Two folds at the same offset hold the same
-    revisions, whichever way they got there: by records, by a checkpoint, or by a peer's snapshot.
+    The offset never decreases and never skips a record. Two folds at the same offset hold the same
+    revisions, whether they were built from records, a checkpoint or the snapshot of a peer.
     """
 
     def __init__(self) -> None:
@@ -62,8 +69,8 @@
         self._entries: dict[Key, Revision] = {}
         self._unread: OrderedDict[Key, Unread] = OrderedDict()
         self._history: dict[Key, deque[Revision]] = {}
-        self._verdicts: OrderedDict[int, Verdict] = OrderedDict()
-        self._verdict_ids: OrderedDict[str, int] = OrderedDict()
+        self._results: OrderedDict[int, ApplyResult] = OrderedDict()
+        self._offsets_by_id: OrderedDict[str, int] = OrderedDict()
         self._digest = 0
         self._digests: deque[tuple[int, int]] = deque([(0, 0)], maxlen=DIGESTS_KEPT)
         self._listeners: list[Listener] = []
@@ -73,25 +80,28 @@
 
     @property
     def offset(self) -> int:
-        """Return the offset of the last record folded, 0 before the first."""
+        """Return the offset of the last folded record, or 0 before the first record."""
         return self._offset
 
     @property
     def digest(self) -> int:
-        """Return the digest of what is in force."""
+        """Return the digest of the revisions in force."""
         return self._digest
 
     def listen(self, listener: Listener) -> None:
-        """Call back with each revision that comes into force."""
+        """Register a callback that receives each revision when it comes into force."""
         self._listeners.append(listener)
 
     def get(self, kind: Kind, name: str) -> Revision | None:
-        """Return the revision in force, or None where there is none or it was deleted."""
+        """Return the revision in force, or None if the record does not exist or was deleted."""
         revision = self._entries.get((Kind(kind), name))
         return revision if revision is not None and revision.raw is not None else None
 
     def current_revision(self, kind: Kind, name: str) -> int:
-        """Return the revision that the next amendment must name; a deletion has one too."""
+        """Return the revision number that the next amendment must name in `amends`.
+
+        0 if the record never existed; a deletion has a revision number too.
+        """
         revision = self._entries.get((Kind(kind), name))
         return 0 if revision is None else revision.offset
 
@@ -104,7 +114,7 @@
         ]
 
     def unread(self) -> list[Unread]:
-        """Return the records that only a newer release could put in force."""
+        """Return the records whose schema version only a newer release can read."""
         return list(self._unread.values())
 
     def services(self) -> dict[str, ServiceSpec]:
@@ -120,35 +130,35 @@
         return self._specs(Kind.CALLER, CallerSpec)
 
     def service(self, name: str) -> ServiceSpec | None:
-        """Return one service in force; it costs the same however many records there are."""
+        """Return a service in force, or None; takes constant time."""
         return self._spec(Kind.SERVICE, name, ServiceSpec)
 
     def trainer(self, name: str) -> TrainerSpec | None:
-        """Return one trainer in force; it costs the same however many records there are."""
+        """Return a trainer in force, or None; takes constant time."""
         return self._spec(Kind.TRAINER, name, TrainerSpec)
 
     def weights(self, service: str) -> tuple[WeightsSpec, int] | None:
-        """Return the weights in force for a service with their fencing number."""
+        """Return the weights in force for a service and their fencing token (the revision)."""
         revision = self.get(Kind.WEIGHTS, service)
         if revision is None or not isinstance(revision.spec, WeightsSpec):
             return None
         return revision.spec, revision.offset
 
     def history(self, kind: Kind, name: str) -> list[Revision]:
-        """Return the last accepted revisions that this process has seen, oldest first."""
+        """Return the latest revisions accepted by this process, oldest first."""
         return list(self._history.get((Kind(kind), name), ()))
 
-    def verdict(self, offset: int) -> Verdict | None:
-        """Return what became of a record folded lately; None when it is not known any more."""
-        return self._verdicts.get(offset)
+    def verdict(self, offset: int) -> ApplyResult | None:
+        """Return the result of a recently folded record, or None if it is no longer kept."""
+        return self._results.get(offset)
 
-    def verdict_of(self, record_id: str) -> Verdict | None:
-        """Return what became of the first record with an id, if it was folded lately."""
-        offset = self._verdict_ids.get(record_id)
-        return None if offset is None else self._verdicts.get(offset)
+    def verdict_of(self, record_id: str) -> ApplyResult | None:
+        """Return the result of the first recently folded record with this id, or None."""
+        offset = self._offsets_by_id.get(record_id)
+        return None if offset is None else self._results.get(offset)
 
     def accepted_as(self, record_id: str, kind: Kind, name: str) -> Revision | None:
-        """Return the accepted revision that a record id led to, if it is still remembered."""
+        """Return the accepted revision with this record id, or None if it is no longer kept."""
         key = (Kind(kind), name)
         known = [
             *self._history.get(key, ()),
@@ -156,35 +166,35 @@
         ]
         return next((revision for revision in known if revision.id == record_id), None)
 
-    def apply(self, record: LogRecord) -> Verdict:
-        """Fold the next record; one that is not the next changes nothing."""
+    def apply(self, record: LogRecord) -> ApplyResult:
+        """Fold the next record; a record at any other offset is rejected and changes nothing."""
         if record.offset <= self._offset:
-            return self._refuse(Rejected(RejectReason.STALE, record.offset))
+            return self._reject(Rejected(RejectReason.STALE, record.offset))
         if record.offset != self._offset + 1:
-            return self._refuse(Rejected(RejectReason.GAP, record.offset))
-        verdict = self._judge(record)
+            return self._reject(Rejected(RejectReason.GAP, record.offset))
+        result = self._evaluate(record)
         self._offset = record.offset
         self._digests.append((self._offset, self._digest))
-        self._remember_verdict(record, verdict)
-        if isinstance(verdict, Err):
-            return self._refuse(verdict.err_value)
-        if verdict.ok_value.revision is not None:
-            self._notify(verdict.ok_value.revision)
-        return verdict
+        self._store_result(record, result)
+        if isinstance(result, Err):
+            return self._reject(result.err_value)
+        if result.ok_value.revision is not None:
+            self._notify(result.ok_value.revision)
+        return result
 
     def snapshot(self) -> dict[str, Any]:
-        """Return the whole fold as JSON data."""
+        """Return the state of the fold as JSON data."""
         return snapshot_data(self.as_snapshot())
 
     def as_snapshot(self) -> Snapshot:
-        """Return the whole fold, typed."""
+        """Return the state of the fold as a `Snapshot`."""
         entries = tuple(revision for _, revision in sorted(self._entries.items()))
         unread = tuple(entry for _, entry in sorted(self._unread.items()))
         return Snapshot(self._offset, entries, unread, known_reads(), self.checkpoint)
 
     @classmethod
     def from_snapshot(cls, data: Any) -> Result["ConfigFold", SnapshotError]:
-        """Build a fold from a snapshot."""
+        """Build a fold from the JSON data of a snapshot."""
         fold = cls()
         match read_snapshot(data):
             case Err(error):
@@ -194,10 +204,10 @@
                 return Ok(fold)
 
     def install(self, snapshot: Snapshot) -> bool:
-        """Replace the fold by a newer snapshot; one that is not newer changes nothing.
+        """Replace the state with a newer snapshot; return False if the snapshot is not newer.
 
-        A peer that lags would otherwise bring an older record back into force: callers would see
-        limits and weights of minutes ago. Comparing offsets is enough, since they are the log's.
+        Without this check, a peer that lags behind would restore outdated limits and weights.
+        Comparing offsets is sufficient because all processes use the offsets of the same log.
         """
         if snapshot.as_of <= self._offset:
             return False
@@ -213,7 +223,7 @@
         self._digests.append((self._offset, self._digest))
         for key, revision in sorted(self._entries.items()):
             if key not in before or before[key].offset != revision.offset:
-                self._remember_revision(revision)
+                self._store_revision(revision)
                 self._notify(revision)
         return True
 
@@ -229,26 +239,26 @@
             if isinstance(revision.spec, spec_type)
         }
 
-    def _judge(self, record: LogRecord) -> Verdict:
+    def _evaluate(self, record: LogRecord) -> ApplyResult:
         if isinstance(record.data, dict) and record.data.get(ATTR_KIND) == Kind.CHECKPOINT.value:
-            return self._judge_checkpoint(record)
+            return self._evaluate_checkpoint(record)
         match read_amendment(record.data):
             case Err(error):
-                return Err(_rejected(record.offset, error))
+                return Err(_rejection(record.offset, error))
             case Ok(amendment):
-                return self._judge_amendment(record, amendment)
+                return self._evaluate_amendment(record, amendment)
 
-    def _judge_amendment(self, record: LogRecord, amendment: Amendment) -> Verdict:
+    def _evaluate_amendment(self, record: LogRecord, amendment: Amendment) -> ApplyResult:
         current = self.current_revision(amendment.kind, amendment.name)
         if amendment.amends != current:
             if self.accepted_as(record.id, amendment.kind, amendment.name) is not None:
                 return Err(Rejected(RejectReason.REPEATED, record.offset, revision=current))
-            return Err(_conflict(record.offset, amendment, current))
+            return Err(_conflict_rejection(record.offset, amendment, current))
         match read_amendment_spec(amendment):
             case Err(error):
                 if error.reason is RejectReason.UNKNOWN_SCHEMA:
-                    self._keep_unread(record, amendment)
-                return Err(_rejected(record.offset, error, current))
+                    self._store_unread(record, amendment)
+                return Err(_rejection(record.offset, error, current))
             case Ok(spec):
                 return Ok(Applied(record.offset, self._accept(record, amendment, spec)))
 
@@ -271,10 +281,10 @@
         self._unread.pop(key, None)
         change = revision_digest(revision) - (0 if old is None else revision_digest(old))
         self._digest = (self._digest + change) % 2**DIGEST_BITS
-        self._remember_revision(revision)
+        self._store_revision(revision)
         return revision
 
-    def _judge_checkpoint(self, record: LogRecord) -> Verdict:
+    def _evaluate_checkpoint(self, record: LogRecord) -> ApplyResult:
         match read_checkpoint(record.offset, record.data):
             case Err(error):
                 return Err(Rejected(RejectReason.MALFORMED, record.offset, detail=error.detail))
@@ -287,13 +297,13 @@
                 return Ok(Applied(record.offset, None, matches))
 
     def _digest_matches(self, snapshot: Snapshot, digest: int) -> bool:
-        # A writer of another release may have read more or fewer records than this one.
+        # Another release may support other schema versions, so that the digests are not comparable.
         if snapshot.reads != known_reads():
             return True
         known = next((d for offset, d in reversed(self._digests) if offset == snapshot.as_of), None)
         return known is None or known == digest
 
-    def _keep_unread(self, record: LogRecord, amendment: Amendment) -> None:
+    def _store_unread(self, record: LogRecord, amendment: Amendment) -> None:
         key = (amendment.kind, amendment.name)
         self._unread.pop(key, None)
         self._unread[key] = Unread(record.offset, record.time.isoformat(), record.id, amendment)
@@ -301,8 +311,8 @@
             self._unread.popitem(last=False)
 
     def _resolve_unread(self) -> None:
-        # Without this, a process of the new release that starts from a checkpoint of the old one
-        # would never see a record that only the new one can read, and run the older spec for good.
+        # A snapshot written by an older release can contain records that only this release can
+        # read. Without this step, this process would use the older spec permanently.
         for key, unread in list(self._unread.items()):
             amendment = unread.amendment
             current = self._entries.get(key)
@@ -315,19 +325,19 @@
                 case Err(_):
                     continue
 
-    def _remember_revision(self, revision: Revision) -> None:
+    def _store_revision(self, revision: Revision) -> None:
         key = (revision.kind, revision.name)
         self._history.setdefault(key, deque(maxlen=HISTORY_LENGTH)).append(revision)
 
-    def _remember_verdict(self, record: LogRecord, verdict: Verdict) -> None:
-        self._verdicts[record.offset] = verdict
-        self._verdict_ids.setdefault(record.id, record.offset)
-        if len(self._verdicts) > VERDICTS_KEPT:
-            self._verdicts.popitem(last=False)
-        if len(self._verdict_ids) > VERDICTS_KEPT:
-            self._verdict_ids.popitem(last=False)
+    def _store_result(self, record: LogRecord, result: ApplyResult) -> None:
+        self._results[record.offset] = result
+        self._offsets_by_id.setdefault(record.id, record.offset)
+        if len(self._results) > VERDICTS_KEPT:
+            self._results.popitem(last=False)
+        if len(self._offsets_by_id) > VERDICTS_KEPT:
+            self._offsets_by_id.popitem(last=False)
 
-    def _refuse(self, rejected: Rejected) -> Verdict:
+    def _reject(self, rejected: Rejected) -> ApplyResult:
         self.rejections[rejected.reason] += 1
         return Err(rejected)
 
@@ -336,14 +346,14 @@
             listener(revision)
 
 
-def _conflict(offset: int, amendment: Amendment, current: int) -> Rejected:
+def _conflict_rejection(offset: int, amendment: Amendment, current: int) -> Rejected:
     detail = f"it amends revision {amendment.amends}; the current one is {current}"
     return Rejected(
         RejectReason.CONFLICT, offset, amendment.kind.value, amendment.name, current, detail
     )
 
 
-def _rejected(offset: int, error: EnvelopeError, current: int = 0) -> Rejected:
+def _rejection(offset: int, error: EnvelopeError, current: int = 0) -> Rejected:
     kind = "" if error.amendment is None else error.amendment.kind.value
     name = "" if error.amendment is None else error.amendment.name
     return Rejected(error.reason, offset, kind, name, current, error.detail, error.mistakes)
--- a/cranberryline/configs/publish.py
+++ b/cranberryline/configs/publish.py
@@ -1,4 +1,4 @@
-"""Publish an amendment: append it, and find out from the log what became of it."""
+"""Publication of amendments: append to the log and read the result back from it."""
 
 import abc
 import enum
@@ -24,37 +24,37 @@
 __all__ = ["Accepted", "ConfigPublisher", "FoldSource", "PublishReason", "PublishRefused", "Ran"]
 
 APPEND_ATTEMPTS = 3
-BACKOFF = timedelta(milliseconds=150)
-SPREAD_WAIT = timedelta(seconds=1)
+APPEND_BACKOFF = timedelta(milliseconds=150)
+REPLICATION_TIMEOUT = timedelta(seconds=1)
 RETRY_AFTER = timedelta(seconds=5)
 CLIENT_ERRORS = range(400, 500)
 REQUEST_TIMEOUT_STATUS = 408
 
 ADVICE_CONFLICT = (
-    "look at the current revision, decide whether the change still holds, and publish it again "
+    "check whether the change still applies to the current revision, then publish it again "
     "with amends set to the current revision and a new id"
 )
-ADVICE_INVALID = "mend the mistakes listed and publish again; nothing was published"
+ADVICE_INVALID = "correct the listed mistakes and publish again; nothing was published"
 ADVICE_SCHEMA = (
-    "write the record in a schema version that is known here, or update every process first; "
+    "use a schema version that this release supports, or update all processes first; "
     "the older record stays in force"
 )
 ADVICE_NOT_RUN = "nothing was published; publish again later"
 ADVICE_UNKNOWN = (
-    "it may be on the log; publish the same record again with the same id, which can take effect "
-    "only once"
+    "the record may have been published; publish the same record again with the same id, which "
+    "takes effect at most once"
 )
 
 
 class Ran(enum.StrEnum):
-    """Whether a publication took effect."""
+    """Whether a publication that was not accepted may have taken effect."""
 
     NO = "no"
     UNKNOWN = "unknown"
 
 
 class PublishReason(enum.StrEnum):
-    """Why a publication was not accepted."""
+    """Reason why a publication was not accepted."""
 
     CONFLICT = "config_conflict"
     INVALID = "config_invalid"
@@ -64,7 +64,7 @@
 
 @attrs.frozen
 class Accepted:
-    """A record in force; `confirmed_by` peers were seen to have it."""
+    """A record in force, and the number of peers that have acknowledged it."""
 
     revision: Revision
     confirmed_by: int = 0
@@ -72,7 +72,10 @@
 
 @attrs.frozen
 class PublishRefused:
-    """A publication that was not accepted, and what the operator can do."""
+    """A publication that was not accepted, with advice for the operator.
+
+    `current` and `current_revision` describe the revision in force after a conflict.
+    """
 
     reason: PublishReason
     record_id: str
@@ -85,28 +88,28 @@
 
 
 class FoldSource(abc.ABC):
-    """The fold of this process, and ways to bring it and the others up to date."""
+    """Access to the fold of this process, and methods to update it and its peers."""
 
     @property
     @abc.abstractmethod
     def fold(self) -> ConfigFold:
-        """Return the fold."""
+        """Return the fold of this process."""
 
     @abc.abstractmethod
     async def async_catch_up(self) -> Result[int, PlatformError]:
-        """Fold all that the log has now; return the offset."""
+        """Fold all records that the log has now; return the offset."""
 
     @abc.abstractmethod
     def fold_next(self, record: LogRecord) -> None:
-        """Fold a record whose offset is known, if it is the next."""
+        """Fold a record with a known offset if it is the next one."""
 
     @abc.abstractmethod
     async def async_spread(self, offset: int, wait: timedelta) -> int:
-        """Push to all peers; return how many were seen to have the offset within the wait."""
+        """Push to all peers; return how many acknowledged the offset within `wait`."""
 
 
 class ConfigPublisher:
-    """Publish operators' amendments from an entry."""
+    """Publishes amendments of operators from an entry."""
 
     def __init__(self, log: LogPort, source: FoldSource, clock: Clock) -> None:
         self._log = log
@@ -114,40 +117,41 @@
         self._clock = clock
 
     async def async_publish(self, data: Any, record_id: str) -> Result[Accepted, PublishRefused]:
-        """Publish one record; the id makes a repetition of the same publication harmless."""
+        """Publish one record; idempotent for the same record and id."""
         checked = check_amendment(data, record_id)
         if isinstance(checked, Err):
             return checked
         amendment = checked.ok_value
         if isinstance(caught_up := await self._source.async_catch_up(), Err):
-            return Err(self._log_refusal(record_id, Ran.NO, caught_up.err_value))
-        settled = self._settle(amendment, record_id)
-        if settled is None:
-            settled = self._check_current(amendment, record_id)
-        if settled is None:
-            settled = await self._async_append(amendment, record_id)
-        if isinstance(settled, Err):
-            return settled
-        revision = settled.ok_value.revision
-        # Told "accepted" now, the operator relies on it. If this process died and the log with it
-        # before a peer had the record, it would be in force nowhere until the log came back.
-        confirmed = await self._source.async_spread(revision.offset, SPREAD_WAIT)
+            return Err(self._log_unavailable(record_id, Ran.NO, caught_up.err_value))
+        outcome = self._find_outcome(amendment, record_id)
+        if outcome is None:
+            outcome = self._check_current(amendment, record_id)
+        if outcome is None:
+            outcome = await self._async_append(amendment, record_id)
+        if isinstance(outcome, Err):
+            return outcome
+        revision = outcome.ok_value.revision
+        # Replicate before reporting "accepted". If this process and the log both failed before a
+        # peer had the record, it would be in force nowhere until the log recovered.
+        confirmed = await self._source.async_spread(revision.offset, REPLICATION_TIMEOUT)
         return Ok(Accepted(revision, confirmed))
 
     async def _async_append(
         self, amendment: Amendment, record_id: str
     ) -> Result[Accepted, PublishRefused]:
-        """Append until the log shows what became of the record.
+        """Append the record and retry until its result is known from the log.
 
-        An answer lost after the append took effect looks like a failure: the operator would be told
-        "not published" of a record in force. So the log is read back by id. Appending again under
-        the same id is safe: the second copy amends a revision that the first has replaced.
+        A response lost after a successful append looks like a failure, and the operator would be
+        told that a record in force was not published. So the log is read back by record id.
+        Retrying with the same id is safe: the second copy amends a revision that the first copy
+        has already replaced, and is rejected.
         """
         ran = Ran.NO
         error = PlatformError(PlatformReason.UNREACHABLE)
         for attempt in range(APPEND_ATTEMPTS):
             if attempt:
-                await self._clock.async_sleep(BACKOFF * 2**attempt * (0.5 + random.random()))
+                await self._clock.async_sleep(APPEND_BACKOFF * 2**attempt * (0.5 + random.random()))
             answer = await self._log.async_append(CONFIG_STREAM, [(record_id, amendment.as_dict())])
             match answer:
                 case Ok([int() as offset]):
@@ -160,10 +164,10 @@
                     if _may_have_run(error):
                         ran = Ran.UNKNOWN
                     await self._source.async_catch_up()
-            settled = self._settle(amendment, record_id)
-            if settled is not None:
-                return settled
-        return Err(self._log_refusal(record_id, ran, error))
+            outcome = self._find_outcome(amendment, record_id)
+            if outcome is not None:
+                return outcome
+        return Err(self._log_unavailable(record_id, ran, error))
 
     async def _async_fold_up_to(self, offset: int, amendment: Amendment, record_id: str) -> None:
         caught_up = await self._source.async_catch_up()
@@ -171,22 +175,24 @@
             record = LogRecord(offset, self._clock.now(), record_id, amendment.as_dict())
             self._source.fold_next(record)
 
-    def _settle(
+    def _find_outcome(
         self, amendment: Amendment, record_id: str
     ) -> Result[Accepted, PublishRefused] | None:
-        """Return what the fold says of the record, or None when it has not met it."""
+        """Return the result that the fold has for the record, or None if it has not folded it."""
         fold = self._source.fold
         revision = fold.accepted_as(record_id, amendment.kind, amendment.name)
         if revision is not None:
             if (revision.raw, revision.schema) == (amendment.raw, amendment.schema):
                 return Ok(Accepted(revision))
-            mistake = Mistake(ATTR_ID, record_id, "an id that no other record has")
+            mistake = Mistake(ATTR_ID, record_id, "an id that no other record uses")
             return Err(_invalid(record_id, [mistake]))
         match fold.verdict_of(record_id):
             case Err(Rejected() as rejected):
-                return Err(self._refusal(rejected, amendment, record_id))
+                return Err(self._rejected_by_fold(rejected, amendment, record_id))
             case Ok(Applied(revision=Revision() as other)):
-                mistake = Mistake(ATTR_ID, record_id, f"an id other than that of {other.name}")
+                mistake = Mistake(
+                    ATTR_ID, record_id, f"an id that differs from the id of {other.name}"
+                )
                 return Err(_invalid(record_id, [mistake]))
         return None
 
@@ -197,9 +203,11 @@
         if amendment.amends == current:
             return None
         rejected = Rejected(RejectReason.CONFLICT, 0, revision=current)
-        return Err(self._refusal(rejected, amendment, record_id))
+        return Err(self._rejected_by_fold(rejected, amendment, record_id))
 
-    def _refusal(self, rejected: Rejected, amendment: Amendment, record_id: str) -> PublishRefused:
+    def _rejected_by_fold(
+        self, rejected: Rejected, amendment: Amendment, record_id: str
+    ) -> PublishRefused:
         if rejected.reason is not RejectReason.CONFLICT:
             return _invalid(record_id, list(rejected.mistakes))
         fold = self._source.fold
@@ -212,7 +220,7 @@
             fold.current_revision(amendment.kind, amendment.name),
         )
 
-    def _log_refusal(self, record_id: str, ran: Ran, error: PlatformError) -> PublishRefused:
+    def _log_unavailable(self, record_id: str, ran: Ran, error: PlatformError) -> PublishRefused:
         advice = ADVICE_NOT_RUN if ran is Ran.NO else ADVICE_UNKNOWN
         wait = RETRY_AFTER
         if error.retry_after_s is not None:
@@ -223,7 +231,7 @@
 
 
 def check_amendment(data: Any, record_id: str) -> Result[Amendment, PublishRefused]:
-    """Read an operator's record; report all mistakes of envelope and spec together."""
+    """Validate a record of an operator; report all mistakes of envelope and spec together."""
     mistakes: list[Mistake] = []
     if not RECORD_ID.test(record_id):
         mistakes.append(Mistake(ATTR_ID, shown(record_id), RECORD_ID.allowed))
@@ -250,7 +258,7 @@
 
 
 def _spec_mistakes(data: Any) -> list[Mistake]:
-    """Return the mistakes of the spec under a faulty envelope, where kind and schema are known."""
+    """Return the mistakes of the spec in an invalid envelope if kind and schema are known."""
     if not isinstance(data, dict) or not isinstance(data.get(ATTR_SPEC), dict):
         return []
     kind, schema = data.get(ATTR_KIND), data.get(ATTR_SCHEMA)
--- a/cranberryline/configs/push.py
+++ b/cranberryline/configs/push.py
@@ -1,4 +1,4 @@
-"""Who reads the log, and when a peer that has not acknowledged gets its records again."""
+"""Selection of the entries that read the log, and resend schedule for unacknowledged pushes."""
 
 from collections.abc import Callable, Iterable
 from datetime import timedelta
@@ -9,11 +9,12 @@
 
 __all__ = ["TAILER_KEY", "ResendSchedule", "TailerRanking"]
 
+# Hash key of the ranking; a tailer is an entry that reads the configuration stream of the log.
 TAILER_KEY = "config-tailers"
 
 
 class TailerRanking:
-    """Rank the live entries by rendezvous hash; the first few read the log."""
+    """Ranks the live entries by rendezvous hashing; the first `tailers` entries read the log."""
 
     def __init__(self, vm_id: str, live_entries: Callable[[], Iterable[str]], tailers: int) -> None:
         self._vm_id = vm_id
@@ -23,11 +24,11 @@
         self._ranked: list[str] = []
 
     def rank(self) -> int:
-        """Return this entry's place, from 0; the entry itself always counts as live."""
+        """Return the zero-based rank of this entry, which always counts as live."""
         return self._ranking().index(self._vm_id)
 
     def tailers(self) -> list[str]:
-        """Return the entries that read the log, if all are up."""
+        """Return the entries that read the log if all entries are reachable."""
         return self._ranking()[: self._count]
 
     def _ranking(self) -> list[str]:
@@ -40,14 +41,14 @@
 
 @attrs.frozen
 class _Attempt:
-    """The next time to send to a peer, and how long the wait before it was."""
+    """Time of the next send to a peer, and the back-off delay before it."""
 
     at: timedelta
     wait: timedelta
 
 
 class ResendSchedule:
-    """Exponential backoff for each peer that has not acknowledged what was pushed."""
+    """Exponential back-off for each peer that has not acknowledged the pushed records."""
 
     def __init__(self, first: timedelta, longest: timedelta) -> None:
         self._first = first
@@ -56,11 +57,11 @@
 
     @property
     def pending(self) -> bool:
-        """Return whether any peer has not acknowledged."""
+        """Return whether any peer has unacknowledged records."""
         return bool(self._attempts)
 
     def sent(self, peer: str, now: timedelta) -> None:
-        """Note that records were pushed to a peer."""
+        """Record that a push was sent to a peer, and schedule the next one."""
         last = self._attempts.get(peer)
         wait = self._first
         if last is not None and last.at <= now:
@@ -68,10 +69,10 @@
         self._attempts[peer] = _Attempt(now + wait, wait)
 
     def due(self, peer: str, now: timedelta) -> bool:
-        """Return whether a peer that is behind has to be sent to again."""
+        """Return whether the next push to a peer that is behind is due."""
         attempt = self._attempts.get(peer)
         return attempt is None or attempt.at <= now
 
     def done(self, peer: str) -> None:
-        """Forget a peer that has all, or is gone."""
+        """Remove a peer that has acknowledged all records or has disconnected."""
         self._attempts.pop(peer, None)
--- a/cranberryline/configs/relay.py
+++ b/cranberryline/configs/relay.py
@@ -1,9 +1,4 @@
-"""Relay of configuration records between processes: what to take, what to send, to whom.
-
-A `ConfigRequest` says "I have all before `start`"; it asks, and it acknowledges. A `ConfigDelta` is
-answered by a request when it carried something or left a gap, and by nothing when it was empty, so
-an exchange ends. Loss is repaired by sending again to peers that have not acknowledged.
-"""
+"""Relay of configuration records between processes."""
 
 import abc
 from collections import Counter, deque
@@ -29,7 +24,7 @@
 
 
 class RelayPort(abc.ABC):
-    """The connections over which configuration is relayed; a peer is named by its VM id."""
+    """Connections that relay configuration records; a peer is identified by its VM id."""
 
     @abc.abstractmethod
     def entry_peers(self) -> Iterable[str]:
@@ -41,12 +36,17 @@
 
     @abc.abstractmethod
     def send(self, peer: str, message: Message) -> None:
-        """Send a message to a peer; one that cannot be sent is dropped and counted."""
+        """Send a message to a peer; a message that cannot be sent is dropped and counted."""
 
 
 @attrs.frozen
 class DeltaTaken:
-    """What a delta did: records applied, the reply to send, whether it held all its sender has."""
+    """Result of applying a delta.
+
+    `applied` is the number of offsets that the fold advanced, `reply` the acknowledgement or
+    request to send. `complete` is True if the sender has no newer records, and `refused` is the
+    drop reason of an invalid delta.
+    """
 
     applied: int
     reply: ConfigRequest | None = None
@@ -55,17 +55,23 @@
 
 
 class ConfigRelay:
-    """A fold, the latest records, and how far each peer is known to be."""
+    """Exchanges records with peers, and tracks the offset that each peer has acknowledged.
+
+    A `ConfigRequest` acknowledges all records before `start` and requests those from `start` on. A
+    `ConfigDelta` with records, a snapshot or a gap is answered by a request; an empty delta without
+    a gap is not answered, which ends the exchange. Lost messages are repaired by sending again to
+    peers that have not acknowledged.
+    """
 
     def __init__(self, fold: ConfigFold, records_kept: int = RECORDS_KEPT) -> None:
         self.fold = fold
         self.refusals: Counter[str] = Counter()
         self._records: deque[LogRecord] = deque(maxlen=records_kept)
         self._sizes: deque[int] = deque(maxlen=records_kept)
-        self._known: dict[str, int] = {}
+        self._acknowledged: dict[str, int] = {}
 
     def fold_record(self, record: LogRecord) -> bool:
-        """Fold a record and keep it for peers; return whether the fold moved on."""
+        """Fold a record and keep it for peers; return whether the fold advanced."""
         before = self.fold.offset
         record = safe_record(record)
         self.fold.apply(record)
@@ -76,7 +82,7 @@
         return True
 
     def install(self, snapshot: Snapshot) -> bool:
-        """Move the fold to a newer snapshot; the records kept before it no longer connect."""
+        """Install a newer snapshot, and discard the kept records, which are older than it."""
         if not self.fold.install(snapshot):
             return False
         self._records.clear()
@@ -84,90 +90,94 @@
         return True
 
     def delta_since(self, start: int) -> ConfigDelta:
-        """Return records from an offset on, or the whole fold where they are no longer held."""
-        after = self.fold.offset + 1
-        if start >= after:
-            return ConfigDelta(after, after, ())
+        """Return the records from `start` on, or a snapshot if they are no longer kept."""
+        next_offset = self.fold.offset + 1
+        if start >= next_offset:
+            return ConfigDelta(next_offset, next_offset, ())
         if not self._records or self._records[0].offset > start:
-            return ConfigDelta(after, after, (), self.fold.snapshot())
-        skip = start - self._records[0].offset
-        rows = tuple(_row(self._records[i]) for i in range(skip, self._stop(skip)))
+            return ConfigDelta(next_offset, next_offset, (), self.fold.snapshot())
+        first_index = start - self._records[0].offset
+        rows = tuple(
+            _record_to_row(self._records[i])
+            for i in range(first_index, self._stop_index(first_index))
+        )
         return ConfigDelta(start, start + len(rows), rows)
 
-    def _stop(self, skip: int) -> int:
+    def _stop_index(self, first_index: int) -> int:
         size = 0
-        longest = min(len(self._records), skip + DELTA_RECORDS)
-        for i in range(skip, longest):
+        max_stop = min(len(self._records), first_index + DELTA_RECORDS)
+        for i in range(first_index, max_stop):
             size += self._sizes[i]
-            if size > DELTA_BYTES and i > skip:
+            if size > DELTA_BYTES and i > first_index:
                 return i
-        return longest
+        return max_stop
 
     def known(self, peer: str) -> int | None:
-        """Return the offset that a peer is known to have, or None."""
-        return self._known.get(peer)
+        """Return the last offset that a peer has acknowledged, or None if unknown."""
+        return self._acknowledged.get(peer)
 
     def set_known(self, peer: str, offset: int) -> None:
-        """Note the offset that a peer said it has."""
-        self._known[peer] = offset
+        """Set the last offset that a peer has acknowledged."""
+        self._acknowledged[peer] = offset
 
     def forget(self, peer: str) -> None:
-        """Forget a peer whose connection ended; it may come back with less."""
-        self._known.pop(peer, None)
+        """Remove a disconnected peer; it may reconnect with an older offset."""
+        self._acknowledged.pop(peer, None)
 
     def behind(self, peer: str) -> bool:
-        """Return whether a peer is not known to have all that we have."""
-        known = self._known.get(peer)
-        return known is None or known < self.fold.offset
+        """Return whether a peer has not acknowledged all records of this process."""
+        acknowledged = self._acknowledged.get(peer)
+        return acknowledged is None or acknowledged < self.fold.offset
 
     def push_for(self, peer: str) -> ConfigDelta:
-        """Return what to send to a peer that is behind.
+        """Return the delta to send to a peer that is behind.
 
-        To one whose offset is unknown goes an empty delta: it lacks what comes before and asks.
+        A peer with an unknown offset gets an empty delta at the current offset, and requests the
+        records that it lacks.
         """
-        known = self._known.get(peer)
-        return self.delta_since(self.fold.offset + 1 if known is None else known + 1)
+        acknowledged = self._acknowledged.get(peer)
+        return self.delta_since(self.fold.offset + 1 if acknowledged is None else acknowledged + 1)
 
     def on_request(self, peer: str, request: ConfigRequest) -> Message | None:
-        """Note what a peer has and return the answer; None for a request that cannot be one."""
+        """Store the acknowledged offset and return the response; None for an invalid request."""
         start = request.start
         if not _is_int(start) or start < 1:
             self.refusals[DROP_BAD_REQUEST] += 1
             return None
-        self._known[peer] = start - 1
+        self._acknowledged[peer] = start - 1
         if start > self.fold.offset + 1:
             return ConfigRequest(self.fold.offset + 1)
         return self.delta_since(start)
 
     def on_delta(self, peer: str, delta: ConfigDelta) -> DeltaTaken:
-        """Take a delta: only what is next is folded, and nothing of one that is not whole."""
+        """Apply a delta; fold only consecutive records, and nothing of an invalid delta."""
         records = _read_rows(delta)
         base = _read_base(delta)
         if records is None or (delta.base is not None and base is None):
             self.refusals[DROP_BAD_DELTA] += 1
             return DeltaTaken(0, refused=DROP_BAD_DELTA)
-        self._known[peer] = max(self._known.get(peer, 0), delta.next - 1)
+        self._acknowledged[peer] = max(self._acknowledged.get(peer, 0), delta.next - 1)
         before = self.fold.offset
         if base is not None:
             self.install(base)
-        # Folding past a gap would leave this process without a record that all others have, for
-        # good. Asking for what is missing is enough, since the sender has it or a newer snapshot.
+        # Folding past a gap would permanently omit a record that all other processes have. The
+        # sender can supply the missing records or a newer snapshot, so request them.
         if delta.start > self.fold.offset + 1:
             return DeltaTaken(0, ConfigRequest(self.fold.offset + 1))
         for record in records:
             if record.offset > self.fold.offset:
                 self.fold_record(record)
-        carried = bool(records) or base is not None
-        reply = ConfigRequest(self.fold.offset + 1) if carried else None
-        # More may follow what was carried; only "nothing newer" says that this is all.
-        return DeltaTaken(self.fold.offset - before, reply, complete=not carried)
+        has_content = bool(records) or base is not None
+        reply = ConfigRequest(self.fold.offset + 1) if has_content else None
+        # More records may follow a delta with content; only an empty delta means no newer records.
+        return DeltaTaken(self.fold.offset - before, reply, complete=not has_content)
 
 
 def _is_int(value: Any) -> bool:
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def _row(record: LogRecord) -> tuple[int, str, str, dict[str, Any]]:
+def _record_to_row(record: LogRecord) -> tuple[int, str, str, dict[str, Any]]:
     return record.offset, record.time.isoformat(), record.id, record.data
 
 
--- a/cranberryline/configs/signal.py
+++ b/cranberryline/configs/signal.py
@@ -1,4 +1,4 @@
-"""A signal that wakes all who wait for the next one."""
+"""Notification for all coroutines that currently wait."""
 
 import asyncio
 import contextlib
@@ -8,18 +8,18 @@
 
 
 class Signal:
-    """Wake every present waiter; one who comes later waits for the next signal."""
+    """Notifies all current waiters; later waiters wait for the next notification."""
 
     def __init__(self) -> None:
         self._event = asyncio.Event()
 
     def notify(self) -> None:
-        """Wake all who wait now."""
+        """Notify all current waiters."""
         self._event.set()
         self._event = asyncio.Event()
 
     async def async_wait(self, timeout: timedelta) -> bool:
-        """Wait for the next signal; return False after the timeout."""
+        """Wait for the next notification; return False on timeout."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout.total_seconds()):
                 return await self._event.wait()
--- a/cranberryline/configs/supervise.py
+++ b/cranberryline/configs/supervise.py
@@ -1,4 +1,4 @@
-"""Keep a task of a long-lived process running."""
+"""Restart of failed background tasks of a long-lived process."""
 
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
@@ -9,17 +9,17 @@
 
 __all__ = ["async_keep_running"]
 
-RESTART_PAUSE = timedelta(seconds=1)
+RESTART_DELAY = timedelta(seconds=1)
 
 
 async def async_keep_running(
     name: str, work: Callable[[], Awaitable[None]], clock: Clock, logger: Logger, metrics: Metrics
 ) -> None:
-    """Run a task that never ends; run it again if it fails.
+    """Run a background task and restart it after a delay if it raises an exception.
 
-    A defect met in one odd answer would otherwise end the task for the rest of the process's life:
-    it would serve on with a configuration that no longer changes, and nobody is there to see it.
-    The state that the task works on takes each input whole or not at all, so it can go on from it.
+    Without a restart, one unexpected response could end the task until the process is restarted:
+    the process would continue to serve with a configuration that is no longer updated, unnoticed.
+    A restart is safe because the task's state applies each input completely or not at all.
     """
     while True:
         try:
@@ -28,4 +28,4 @@
         except Exception as exc:
             metrics.drop("task_failed")
             logger.error("task_failed", task=name, error=repr(exc)[:500])
-        await clock.async_sleep(RESTART_PAUSE)
+        await clock.async_sleep(RESTART_DELAY)
--- a/cranberryline/configs/tail.py
+++ b/cranberryline/configs/tail.py
@@ -1,4 +1,4 @@
-"""Read the configuration stream of the log into the fold."""
+"""Reads the configuration stream of the log into the fold."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -22,14 +22,22 @@
 
 @attrs.frozen
 class PageTaken:
-    """What a page did: how far the fold moved, and whether the log had no more then."""
+    """Result of folding a page.
+
+    `moved` is the number of offsets that the fold advanced; `at_end` is True if the log had no
+    more records at the time.
+    """
 
     moved: int
     at_end: bool
 
 
 class LogTail:
-    """Fold pages of the log; `on_rejected` hears of each record that is not in force."""
+    """Reads and folds pages of the log.
+
+    `on_rejected` is called with each record that the fold rejects. `first_kept` is the oldest
+    offset that the log still retains.
+    """
 
     def __init__(
         self,
@@ -43,7 +51,7 @@
         self.first_kept = 1
 
     async def async_read(self, wait: timedelta = timedelta()) -> Result[PageTaken, PlatformError]:
-        """Read and fold the next page, holding the call open while there is none."""
+        """Read and fold the next page; wait up to `wait` for new records (long polling)."""
         start = self._relay.fold.offset + 1
         answer = await self._log.async_read(CONFIG_STREAM, start, PAGE_RECORDS, wait)
         if isinstance(answer, Err):
@@ -63,7 +71,7 @@
         return Ok(PageTaken(moved, len(page.records) < PAGE_RECORDS))
 
     async def async_read_to_end(self) -> Result[int, PlatformError]:
-        """Fold all that the log has now; return how far the fold moved."""
+        """Fold all records that the log has now; return the number of offsets advanced."""
         moved = 0
         while True:
             read = await self.async_read()
@@ -74,14 +82,15 @@
                 return Ok(moved)
 
     def fold_one(self, record: LogRecord) -> bool:
-        """Fold one record if it is the next; return whether the fold moved."""
+        """Fold a record if it is the next one; return whether the fold advanced."""
         return record.offset == self._relay.fold.offset + 1 and self._fold_record(record)
 
     async def _async_start_from_checkpoint(self, page: LogPage) -> Result[None, PlatformError]:
-        """Start where the log has forgotten what comes next for this fold.
+        """Continue from a checkpoint if the log no longer retains the next record of the fold.
 
-        Folding on from the oldest record kept would lack everything older: limits and weights would
-        be those of nobody. A checkpoint after which nothing was forgotten holds the rest.
+        Folding from the oldest retained record would omit all older records and produce limits and
+        weights that were never in force. A checkpoint followed only by retained records contains
+        the missing part.
         """
         first, records = page.first, list(page.records)
         while len(page.records) >= PAGE_RECORDS:
@@ -105,9 +114,9 @@
 
     def _fold_record(self, record: LogRecord) -> bool:
         moved = self._relay.fold_record(record)
-        verdict = self._relay.fold.verdict(record.offset)
-        if isinstance(verdict, Err):
-            self._on_rejected(record, verdict.err_value)
+        result = self._relay.fold.verdict(record.offset)
+        if isinstance(result, Err):
+            self._on_rejected(record, result.err_value)
         return moved
 
 
--- a/tests/configs/test_config_processes.py
+++ b/tests/configs/test_config_processes.py
@@ -1,7 +1,7 @@
-"""Configuration over real processes: killed and frozen tailers, a failing log, starters, races.
+"""Tests of configuration relay with real processes, process failures and log outages.
 
-Four entries, so that one does not tail the log, and two side processes; offsets are read from each
-process's own metrics, several times a second, and must never go down in one life of a process.
+Four entries, one of which does not read the log, and two side processes run. The offsets in their
+metrics are polled several times a second, and must never decrease while a process runs.
 """
 
 import threading
@@ -23,11 +23,11 @@
 SERVICE = "care-models"
 ENTRIES = [f"entry-{number}" for number in range(1, 5)]
 METRIC = "cranberryline_config_offset "
-SAMPLE_S = 0.1
+POLL_INTERVAL_S = 0.1
 
 
 class Offsets:
-    """Watch the offset in force on each process, from a thread."""
+    """Polls the configuration offset of each process in a thread."""
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
@@ -37,7 +37,7 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def read(self, name: str) -> int | None:
-        """Return the offset that a process reports, or None when it does not answer."""
+        """Return the offset that a process reports, or None if it does not respond."""
         try:
             url = self.deployment.urls[name] + "/metrics"
             with urllib.request.urlopen(url, timeout=0.3) as got:
@@ -47,23 +47,29 @@
         found = [line for line in lines if line.startswith(METRIC)]
         return int(float(found[0].rpartition(" ")[2])) if found else None
 
-    def until_all_have(self, offset: int, names: list[str] | None = None) -> float:
-        """Wait until all named processes have an offset; return how long it took, or fail."""
+    def wait_until_all_have(self, offset: int, names: list[str] | None = None) -> float:
+        """Wait until all named processes have an offset; return the duration in seconds.
+
+        Fail after `BOUND_S` seconds.
+        """
         start = time.monotonic()
         for name in names or self.names:
             left = BOUND_S - (time.monotonic() - start)
             wait_for(lambda name=name: (self.read(name) or 0) >= offset, f"{name} has it", left)
         return time.monotonic() - start
 
-    def check_none_went_back(self) -> None:
-        """Check every sequence that was seen; a test that is quick ends before the first look."""
+    def check_none_decreased(self) -> None:
+        """Check that no polled offset decreased.
+
+        Wait for the first poll, since a short test could end before it.
+        """
         wait_for(lambda: self.seen, "an offset was seen", BOUND_S)
-        for key, growing in list(self.seen.items()):
-            offsets = list(growing)
+        for key, history in list(self.seen.items()):
+            offsets = list(history)
             assert offsets == sorted(offsets), key
 
     def _run(self) -> None:
-        while not self._stop.wait(SAMPLE_S):
+        while not self._stop.wait(POLL_INTERVAL_S):
             for name in self.names:
                 pid = self.deployment.process(name).pid
                 offset = self.read(name)
@@ -71,8 +77,8 @@
                     self.seen.setdefault((name, pid), []).append(offset)
 
     @contextmanager
-    def watching(self) -> Iterator["Offsets"]:
-        """Watch for the length of a `with` block."""
+    def polling(self) -> Iterator["Offsets"]:
+        """Poll while the `with` block runs."""
         self._thread.start()
         try:
             yield self
@@ -83,18 +89,18 @@
 
 @pytest.fixture
 def offsets() -> Iterator[Offsets]:
-    """Return a watched deployment, its records published."""
+    """Return the polled offsets of a deployment whose example records are published."""
     plan = load_plan("giat-sach").shrunk(1, entries=len(ENTRIES))
     with launched(plan) as deployment:
         try:
-            with Offsets(deployment).watching() as watched:
-                yield watched
+            with Offsets(deployment).polling() as polled:
+                yield polled
         finally:
             deployment.kill_all()
 
 
 def tailers() -> list[str]:
-    """Return the entries that read the log, first in rank first, then the one that does not."""
+    """Return the entries by rank; the last one does not read the log."""
     return rendezvous.rank(TAILER_KEY, ENTRIES)
 
 
@@ -113,7 +119,7 @@
 
 
 def weights_revision(offsets: Offsets) -> int:
-    """Publish a first amendment on whatever the example has, and return its revision."""
+    """Publish an amendment of the weights in the example, and return its revision."""
     record = {"kind": "weights", "name": SERVICE, "schema": 1, "spec": {"version": 2}}
     answer = offsets.deployment.publish(record)
     if answer.status == 200:
@@ -123,59 +129,61 @@
     return answer.data["revision"]
 
 
-def test_accepted_is_everywhere_though_tailer_and_log_fail(offsets: Offsets) -> None:
-    """Accepted records, with a tailer killed, the log failing at once, and a start without it.
+def test_accepted_record_reaches_all_processes_despite_tailer_and_log_failure(
+    offsets: Offsets,
+) -> None:
+    """A tailer is killed, the log fails right after acceptance, and an entry starts without it.
 
-    What is seen: each accepted record is in force on every live process within 4 s. A killed
-    tailer leaves two; what was accepted is pushed by the entry that took it; an entry that starts
-    while the log is out asks its peers.
+    Each accepted record must be in force on every live process within 4 s. Two tailers remain
+    after the first is killed; the entry that accepted a record pushes it; an entry that starts
+    during the log outage requests the records from its peers.
     """
     first, *_, last = tailers()
     deployment = offsets.deployment
     revision = weights_revision(offsets)
-    offsets.until_all_have(revision)
+    offsets.wait_until_all_have(revision)
     deployment.process(first).kill()
     live = [name for name in offsets.names if name != first]
     revision = publish_weights(offsets, 3, revision, last)
-    offsets.until_all_have(revision, live)
+    offsets.wait_until_all_have(revision, live)
     revision = publish_weights(offsets, 4, revision, last)
     deployment.control("log", outage="refuse")
     deployment.process(last).kill()
-    offsets.until_all_have(revision, [name for name in live if name != last])
+    offsets.wait_until_all_have(revision, [name for name in live if name != last])
     deployment.process(first).start()
     wait_for(lambda: offsets.read(first) is not None, "the entry answers")
-    offsets.until_all_have(revision, [first])
-    offsets.check_none_went_back()
+    offsets.wait_until_all_have(revision, [first])
+    offsets.check_none_decreased()
 
 
-def test_frozen_tailers_come_back_without_going_back(offsets: Offsets) -> None:
+def test_frozen_tailers_catch_up_without_decreasing_offset(offsets: Offsets) -> None:
     """All three tailers are frozen for 6 s while records are published through the fourth entry.
 
-    What is seen: the others have them within 4 s; the frozen ones, which wake up with old
-    knowledge, have them within 4 s of waking, and no offset goes down.
+    The other processes must have the records within 4 s. The frozen processes resume with an
+    outdated fold, and must have the records within 4 s; no offset may decrease.
     """
     *frozen, last = tailers()
     deployment = offsets.deployment
     revision = weights_revision(offsets)
-    offsets.until_all_have(revision)
+    offsets.wait_until_all_have(revision)
     live = [name for name in offsets.names if name not in frozen]
     for name in frozen:
         deployment.process(name).freeze()
     for version in (3, 4, 5):
         revision = publish_weights(offsets, version, revision, last)
-        offsets.until_all_have(revision, live)
+        offsets.wait_until_all_have(revision, live)
         time.sleep(1.0)
     time.sleep(2.0)
     for name in frozen:
         deployment.process(name).thaw()
-    offsets.until_all_have(revision)
-    offsets.check_none_went_back()
+    offsets.wait_until_all_have(revision)
+    offsets.check_none_decreased()
 
 
-def test_two_operators_amend_one_record_through_two_entries(offsets: Offsets) -> None:
-    """Both amend the same revision in the same instant, ten times over.
+def test_concurrent_amendments_through_two_entries(offsets: Offsets) -> None:
+    """Two amendments of the same revision are published concurrently, ten times.
 
-    What is seen: one is accepted and the other gets 409 with the winner's revision, each time.
+    Each time one must be accepted, and the other must get 409 with the accepted revision.
     """
     revision = weights_revision(offsets)
     deployment = offsets.deployment
@@ -190,20 +198,20 @@
             assert [answer.status for answer in answers] == [200, 409]
             revision = answers[0].data["revision"]
             assert answers[1].data["current_revision"] == revision
-    offsets.until_all_have(revision)
-    offsets.check_none_went_back()
+    offsets.wait_until_all_have(revision)
+    offsets.check_none_decreased()
 
 
-def test_another_tools_odd_records_hold_nothing_up(offsets: Offsets) -> None:
-    """A tool appends to the stream what our messages cannot carry; then an operator publishes.
+def test_invalid_records_of_another_tool_do_not_block_later_records(offsets: Offsets) -> None:
+    """A tool appends records that messages cannot encode, then an operator publishes a record.
 
-    What is seen: the operator's record is in force on every process within 4 s.
+    The record of the operator must be in force on every process within 4 s.
     """
     revision = weights_revision(offsets)
     log = offsets.deployment.urls["log"] + "/streams/config/records"
-    odd = [[], "king", {"x": 10**30}, {"kind": "weights"}, {"x": "y" * 2_000_000}]
-    rows = [{"id": f"odd-{number}", "data": data} for number, data in enumerate(odd)]
+    invalid = [[], "king", {"x": 10**30}, {"kind": "weights"}, {"x": "y" * 2_000_000}]
+    rows = [{"id": f"odd-{number}", "data": data} for number, data in enumerate(invalid)]
     assert call(log, {"records": rows}).status == 200
     revision = publish_weights(offsets, 3, revision, tailers()[-1])
-    offsets.until_all_have(revision)
-    offsets.check_none_went_back()
+    offsets.wait_until_all_have(revision)
+    offsets.check_none_decreased()
--- a/tests/configs/test_config_publish.py
+++ b/tests/configs/test_config_publish.py
@@ -1,4 +1,4 @@
-"""Publication: what the operator is told, and what is on the log."""
+"""Tests of publication: the response to the operator, and the records on the log."""
 
 import asyncio
 from datetime import timedelta
@@ -31,7 +31,7 @@
 
 
 def publisher(log: FakeLog) -> ConfigPublisher:
-    """Return a publisher with a fold of its own."""
+    """Return a publisher with its own fold."""
     return ConfigPublisher(log, DirectSource(log), LoopClock())
 
 
@@ -41,7 +41,7 @@
 
 
 def published(log: FakeLog, record_id: str) -> int:
-    """Return how often an id stands on the log."""
+    """Return the number of records with an id on the log."""
     return sum(record.id == record_id for record in log.records)
 
 
@@ -57,35 +57,35 @@
     return run_virtual(async_make())
 
 
-def test_accepted_tells_the_revision(log: FakeLog) -> None:
-    """The revision is the offset that the record stands at."""
+def test_accepted_publication_returns_its_revision(log: FakeLog) -> None:
+    """The returned revision is the offset of the record on the log."""
     revision = publish(log, weights_data(2, 1)).unwrap().revision
     assert (revision.offset, revision.raw) == (2, {"version": 2})
 
 
-def test_answer_lost_after_the_append_took_effect(log: FakeLog) -> None:
-    """The log appends the record and its answer is lost.
+def test_record_is_accepted_if_append_response_is_lost(log: FakeLog) -> None:
+    """The log appends the record, but its response is lost.
 
-    What the operator sees: accepted, with the revision that the record has. The publisher reads
-    the log back and finds its id; the record stands there once.
+    The publisher reads the log back and finds the record id. The operator must get "accepted" with
+    the revision of the record, and the log must contain the record once.
     """
     log.lose_answers = 1
     assert publish(log, weights_data(2, 1)).unwrap().revision.offset == 2
     assert published(log, "p1") == 1
 
 
-def test_every_answer_lost(log: FakeLog) -> None:
-    """All answers to appends are lost; reading still works. It is accepted all the same."""
+def test_record_is_accepted_if_all_append_responses_are_lost(log: FakeLog) -> None:
+    """All responses to appends are lost but reads work; the record must be accepted."""
     log.lose_answers = 99
     assert publish(log, weights_data(2, 1)).unwrap().revision.offset == 2
     assert published(log, "p1") == 1
 
 
-def test_append_that_arrives_late_takes_effect_once(log: FakeLog) -> None:
-    """An append times out, is made again, and the first one arrives after all.
+def test_delayed_duplicate_append_takes_effect_once(log: FakeLog) -> None:
+    """An append times out and is retried, and the first append reaches the log later.
 
-    What the operator sees: accepted. The log holds two copies; the later one amends a revision
-    that the earlier replaced, so it changes nothing, on every process.
+    The operator must get "accepted". The log then has two copies; the second amends a revision
+    that the first replaced, so it must change nothing on any process.
     """
     log.append_errors = [PlatformError(PlatformReason.TIMEOUT)]
     revision = publish(log, weights_data(2, 1)).unwrap().revision
@@ -101,24 +101,24 @@
     assert fold.weights("samplers") == (revision.spec, revision.offset)
 
 
-def test_same_publication_again_is_the_same_revision(log: FakeLog) -> None:
-    """An operator whose answer was lost publishes the same record under the same id, elsewhere."""
+def test_repeated_publication_is_idempotent(log: FakeLog) -> None:
+    """An operator whose response was lost publishes the record with the same id at another entry."""
     first = publish(log, weights_data(2, 1)).unwrap()
     again = publish(log, weights_data(2, 1)).unwrap()
     assert again.revision.offset == first.revision.offset
     assert published(log, "p1") == 1
 
 
-def test_id_of_another_record_is_refused(log: FakeLog) -> None:
-    """An id that stands for something else would tell "accepted" of what was never published."""
+def test_id_used_by_another_record_is_refused(log: FakeLog) -> None:
+    """Without this check, "accepted" could be reported for a record that was never published."""
     publish(log, weights_data(2, 1)).unwrap()
     refused = publish(log, weights_data(3, 2)).unwrap_err()
     assert refused.reason is PublishReason.INVALID
     assert [mistake.key for mistake in refused.mistakes] == ["id"]
 
 
-def test_conflict_is_told_before_anything_is_appended(log: FakeLog) -> None:
-    """The operator learns the current revision and what to do; the log is left alone."""
+def test_conflict_is_reported_without_appending(log: FakeLog) -> None:
+    """The operator gets the current revision and advice, and nothing is appended to the log."""
     log.put(weights_data(2, 1))
     refused = publish(log, weights_data(3, 1)).unwrap_err()
     assert (refused.reason, refused.ran) == (PublishReason.CONFLICT, Ran.NO)
@@ -127,10 +127,10 @@
     assert published(log, "p1") == 0
 
 
-def test_two_operators_amend_one_record_at_once(log: FakeLog) -> None:
-    """Both see revision 1 and publish through two entries in the same instant.
+def test_concurrent_amendments_accept_one_and_refuse_the_other(log: FakeLog) -> None:
+    """Two operators amend revision 1 concurrently through two entries.
 
-    What they see: one is accepted, the other gets a conflict that names the winner's revision.
+    One must be accepted, and the other must get a conflict that names the accepted revision.
     """
 
     async def async_race() -> list[Outcome]:
@@ -140,23 +140,23 @@
         )
 
     outcomes = run_virtual(async_race())
-    won = [outcome.ok_value for outcome in outcomes if isinstance(outcome, Ok)]
+    accepted = [outcome.ok_value for outcome in outcomes if isinstance(outcome, Ok)]
     lost = [outcome.err_value for outcome in outcomes if isinstance(outcome, Err)]
-    assert (len(won), len(lost)) == (1, 1)
+    assert (len(accepted), len(lost)) == (1, 1)
     assert lost[0].reason is PublishReason.CONFLICT
-    assert lost[0].current_revision == won[0].revision.offset
+    assert lost[0].current_revision == accepted[0].revision.offset
 
 
-def test_log_out_before_anything_was_sent(log: FakeLog) -> None:
-    """The operator is told that nothing was published, and when to come back."""
+def test_log_outage_before_append_is_reported_as_not_run(log: FakeLog) -> None:
+    """The operator is told that nothing was published, and when to retry."""
     log.out = True
     refused = publish(log, weights_data(2, 1)).unwrap_err()
     assert (refused.reason, refused.ran) == (PublishReason.LOG_UNAVAILABLE, Ran.NO)
     assert refused.retry_after is not None
 
 
-def test_append_that_cannot_have_run(log: FakeLog) -> None:
-    """No append reached the log, or the log refused each by its rate: told as not run."""
+def test_append_that_cannot_have_run_is_reported_as_not_run(log: FakeLog) -> None:
+    """Appends that did not reach the log or were rate limited are reported as not run."""
     limited = PlatformError(PlatformReason.RATE_LIMITED, status=429, retry_after_s=2.0)
     log.append_errors = [UNREACHABLE, limited, limited]
     refused = publish(log, weights_data(2, 1)).unwrap_err()
@@ -165,10 +165,13 @@
 
 
 @pytest.mark.parametrize("error", [LOST, OUTAGE])
-def test_append_that_may_have_run(log: FakeLog, error: PlatformError) -> None:
-    """Each append fails after it may have reached the log, and the record is not there.
+def test_append_that_may_have_run_is_reported_as_unknown(
+    log: FakeLog, error: PlatformError
+) -> None:
+    """Each append fails after it may have reached the log, and the record is not on the log.
 
-    What the operator sees: unknown, since an append can still arrive, with the id to repeat.
+    The operator must get "unknown", since an append can still arrive, and the advice to publish
+    again with the same id.
     """
     log.append_errors = [error, error, error]
     refused = publish(log, weights_data(2, 1)).unwrap_err()
@@ -176,14 +179,14 @@
     assert "same id" in refused.advice
 
 
-def test_log_fails_between_the_append_and_reading_back(log: FakeLog) -> None:
-    """The append's answer names the next offset, and the log is out from then on.
+def test_record_is_accepted_if_log_fails_after_append(log: FakeLog) -> None:
+    """The response to the append contains the next offset, and the log is unavailable afterwards.
 
-    What the operator sees: accepted. Nothing can stand between the fold and that offset.
+    The operator must get "accepted": no other record can precede the returned offset.
     """
 
     class FailingLog(FakeLog):
-        """A log that goes out with its first append."""
+        """A log that becomes unavailable after its first append."""
 
         async def async_append(
             self, stream: str, records: list[tuple[str, dict[str, Any]]]
@@ -200,8 +203,8 @@
     assert run_virtual(async_case()).unwrap().revision.offset == 2
 
 
-def test_unknown_schema_is_refused_with_what_to_do(log: FakeLog) -> None:
-    """A record of a newer release names the versions known here, and stays off the log."""
+def test_unknown_schema_is_refused_with_advice(log: FakeLog) -> None:
+    """A record of a newer release is refused with the supported versions, and not appended."""
     refused = publish(log, {**weights_data(2, 1), "schema": 9}).unwrap_err()
     assert refused.reason is PublishReason.UNKNOWN_SCHEMA
     assert refused.mistakes[0].allowed == "one of 1"
@@ -209,8 +212,8 @@
     assert published(log, "p1") == 0
 
 
-def test_mistakes_of_envelope_and_spec_come_together(log: FakeLog) -> None:
-    """One answer lists everything that is wrong."""
+def test_mistakes_of_envelope_and_spec_are_reported_together(log: FakeLog) -> None:
+    """One response lists all mistakes."""
     data = {**service_data(amends=-1, concurrency=0, model=3), "name": "a b"}
     refused = publish(log, data, "an id").unwrap_err()
     assert refused.reason is PublishReason.INVALID
@@ -219,6 +222,6 @@
 
 
 def test_operators_cannot_publish_a_checkpoint(log: FakeLog) -> None:
-    """Checkpoints are written by the system alone."""
+    """Only the service itself writes checkpoints."""
     refused = publish(log, {**weights_data(2, 1), "kind": "checkpoint"}).unwrap_err()
     assert [mistake.key for mistake in refused.mistakes] == ["kind"]
--- a/tests/configs/test_config_relay.py
+++ b/tests/configs/test_config_relay.py
@@ -1,4 +1,4 @@
-"""The relay's answers, and nonsense in messages."""
+"""Tests of the relay's responses, and of invalid messages."""
 
 import functools
 from datetime import UTC, datetime
@@ -18,7 +18,7 @@
 
 
 def relay_with(records: int, kept: int = 100) -> ConfigRelay:
-    """Return a relay that has folded that many amendments of one record."""
+    """Return a relay that has folded the given number of amendments of one record."""
     relay = ConfigRelay(ConfigFold(), kept)
     for offset in range(1, records + 1):
         data = weights_data(offset, offset - 1)
@@ -26,58 +26,58 @@
     return relay
 
 
-def test_empty_delta_beyond_a_gap_makes_the_receiver_ask() -> None:
-    """An announcement of a higher offset carries nothing, and is answered by a request."""
+def test_empty_delta_after_a_gap_is_answered_by_a_request() -> None:
+    """An empty delta that announces a higher offset is answered by a request."""
     relay = relay_with(2)
-    taken = relay.on_delta("e", ConfigDelta(6, 6, ()))
-    assert taken.reply == ConfigRequest(3)
-    assert not taken.complete
+    result = relay.on_delta("e", ConfigDelta(6, 6, ()))
+    assert result.reply == ConfigRequest(3)
+    assert not result.complete
 
 
-def test_delta_beyond_a_gap_is_not_folded() -> None:
-    """Records 5 and 6 arrive while 3 and 4 are missing: nothing is folded, 3 is asked for."""
+def test_delta_after_a_gap_is_not_folded() -> None:
+    """Records 5 and 6 arrive while 3 and 4 are missing: none is folded, 3 is requested."""
     relay = relay_with(2)
-    taken = relay.on_delta("e", relay_with(6).delta_since(5))
-    assert (taken.applied, taken.reply, relay.fold.offset) == (0, ConfigRequest(3), 2)
+    result = relay.on_delta("e", relay_with(6).delta_since(5))
+    assert (result.applied, result.reply, relay.fold.offset) == (0, ConfigRequest(3), 2)
 
 
 def test_older_snapshot_changes_nothing() -> None:
-    """A snapshot that was sent long ago arrives late, at a process that has gone on since."""
-    late = relay_with(3, kept=1).delta_since(1)
-    assert late.base is not None
+    """A delayed snapshot arrives at a process that has folded newer records since."""
+    delayed = relay_with(3, kept=1).delta_since(1)
+    assert delayed.base is not None
     relay = relay_with(5)
     before = relay.fold.snapshot()
-    assert relay.on_delta("e", late).applied == 0
+    assert relay.on_delta("e", delayed).applied == 0
     assert relay.fold.snapshot() == before
     assert relay.delta_since(4) == relay_with(5).delta_since(4)
 
 
-def test_snapshot_goes_where_records_are_no_longer_held() -> None:
-    """A starter asks for record 1 of a process that keeps only the last two."""
+def test_snapshot_replaces_records_that_are_no_longer_kept() -> None:
+    """A new process requests record 1 from a process that keeps only the last two records."""
     relay = relay_with(5, kept=2)
-    starter = ConfigRelay(ConfigFold())
-    starter.on_delta("e", relay.delta_since(1))
-    assert starter.fold.snapshot() == relay.fold.snapshot()
+    new_relay = ConfigRelay(ConfigFold())
+    new_relay.on_delta("e", relay.delta_since(1))
+    assert new_relay.fold.snapshot() == relay.fold.snapshot()
 
 
-def test_peer_that_is_ahead_is_asked() -> None:
-    """A request for what this process has not yet: it asks in its turn, and vouches for nothing."""
+def test_records_are_requested_from_peer_that_is_ahead() -> None:
+    """A request for an offset that this process lacks is answered by a request, not a delta."""
     assert relay_with(2).on_request("e", ConfigRequest(9)) == ConfigRequest(3)
 
 
-def test_exchange_ends() -> None:
-    """Delta, acknowledgement, empty answer: the empty one is not answered."""
+def test_empty_delta_ends_the_exchange() -> None:
+    """A delta is acknowledged, the response is an empty delta, and that is not answered."""
     relay, other = relay_with(3), relay_with(1)
-    taken = other.on_delta("a", relay.delta_since(2))
-    answer = relay.on_request("b", taken.reply)
+    result = other.on_delta("a", relay.delta_since(2))
+    answer = relay.on_request("b", result.reply)
     assert answer == ConfigDelta(4, 4, ())
     assert other.on_delta("a", answer).reply is None
     assert not relay.behind("b")
 
 
 @pytest.mark.parametrize("start", [0, -1, True, "1", None])
-def test_nonsense_request_is_refused(start: Any) -> None:
-    """A request that cannot be one is counted and not answered."""
+def test_invalid_request_is_refused(start: Any) -> None:
+    """An invalid request is counted and not answered."""
     relay = relay_with(2)
     assert relay.on_request("e", ConfigRequest(start)) is None
     assert sum(relay.refusals.values()) == 1
@@ -100,24 +100,24 @@
         {"base": "x"},
     ],
 )
-def test_nonsense_delta_is_refused_whole(change: dict[str, Any]) -> None:
-    """One bad part refuses the delta; nothing of it is folded."""
+def test_invalid_delta_is_refused_completely(change: dict[str, Any]) -> None:
+    """A delta with one invalid part is refused; none of its records is folded."""
     relay = relay_with(2)
     delta = attrs.evolve(relay_with(4).delta_since(3), **change)
-    taken = relay.on_delta("e", delta)
-    assert taken.refused
+    result = relay.on_delta("e", delta)
+    assert result.refused
     assert relay.fold.offset == 2
     assert sum(relay.refusals.values()) == 1
 
 
-def test_base_of_another_offset_is_refused() -> None:
-    """A snapshot that does not end just before the delta's start would leave or hide a gap."""
+def test_snapshot_that_does_not_precede_the_delta_is_refused() -> None:
+    """A snapshot that does not end just before the start of the delta could hide a gap."""
     base = relay_with(2).fold.snapshot()
     delta = attrs.evolve(relay_with(6).delta_since(5), base=base)
     assert ConfigRelay(ConfigFold()).on_delta("e", delta).refused
 
 
-NOT_OURS = [
+INVALID_RECORDS = [
     [],
     "x",
     None,
@@ -131,15 +131,15 @@
 ]
 
 
-@pytest.mark.parametrize("data", NOT_OURS, ids=range(len(NOT_OURS)))
+@pytest.mark.parametrize("data", INVALID_RECORDS, ids=range(len(INVALID_RECORDS)))
 @pytest.mark.parametrize("record_id", ["id", 7, "\ud800"])
-def test_record_that_cannot_travel_does_not_hold_up_those_after_it(
+def test_record_that_cannot_be_encoded_does_not_block_later_records(
     data: Any, record_id: Any
 ) -> None:
-    """A tool appends something that our messages cannot carry, then a good record follows.
+    """A tool appends a record that messages cannot encode, followed by a valid record.
 
-    What is seen: both processes have the good record and hold the same. The frame with the odd
-    one would otherwise fail to be written, or be refused whole by each receiver, for ever.
+    Both processes must have the valid record and equal snapshots. Otherwise the frame with the
+    invalid record would fail to be encoded, or be refused by each receiver, on every attempt.
     """
     relay, receiver = relay_with(1), relay_with(1)
     relay.fold_record(LogRecord(2, NOW, record_id, data))
@@ -155,7 +155,7 @@
 
 
 def test_delta_is_bounded_in_bytes() -> None:
-    """Large records travel in several messages, none of which a socket would refuse."""
+    """Large records are split over several messages, each below the size limit of a connection."""
     relay = relay_with(0)
     for offset in range(1, 41):
         data = {**weights_data(1, 0), "spec": {"x": "y" * 200_000}}
--- a/tests/configs/test_config_sync.py
+++ b/tests/configs/test_config_sync.py
@@ -1,4 +1,7 @@
-"""Configuration on every process within 4 s: relay, tailers' deaths, outages, starters."""
+"""Tests that records reach every process within 4 s despite failures and outages.
+
+A tailer is an entry that reads the log; the other processes get the records from peers.
+"""
 
 import asyncio
 from typing import Any
@@ -18,12 +21,12 @@
 
 
 def ranked() -> list[str]:
-    """Return the entries as the tailers' ranking has them."""
+    """Return the entries in the order of the tailer ranking."""
     return rendezvous.rank("config-tailers", ENTRIES)
 
 
 async def async_start(log: FakeLog) -> Cluster:
-    """Start a cluster and wait until all know a first record."""
+    """Start a cluster and wait until all processes have a first record."""
     cluster = Cluster(log)
     log.put(service_data())
     for name in ENTRIES:
@@ -36,12 +39,15 @@
 
 
 def publisher(cluster: Cluster, name: str) -> ConfigPublisher:
-    """Return a publisher at an entry."""
+    """Return a publisher on an entry."""
     return ConfigPublisher(cluster.log, cluster.nodes[name].sync, LoopClock())
 
 
-def test_accepted_is_everywhere_well_within_the_bound() -> None:
-    """An operator publishes at an entry that does not tail; all have it in a fraction of 4 s."""
+def test_accepted_record_reaches_all_processes_within_the_bound() -> None:
+    """An operator publishes at an entry that does not read the log.
+
+    All processes must have the record in a fraction of 4 s.
+    """
 
     async def async_case() -> float:
         cluster = await async_start(FakeLog())
@@ -55,8 +61,8 @@
     assert run_virtual(async_case()) < 0.1
 
 
-def test_only_the_first_few_read_the_log() -> None:
-    """Entries that hear signs of life leave the log alone: 3 tailers, 5 s a poll."""
+def test_only_tailers_read_the_log() -> None:
+    """Entries that receive heartbeats do not read the log: 3 tailers, 5 s per poll."""
 
     async def async_case() -> int:
         log = FakeLog()
@@ -69,18 +75,18 @@
     assert run_virtual(async_case()) <= 3 * 60 / 5 + 3
 
 
-@pytest.mark.parametrize("victims", [1, 2, 3])
-def test_record_arrives_though_tailers_die(victims: int) -> None:
+@pytest.mark.parametrize("killed_tailers", [1, 2, 3])
+def test_record_arrives_if_tailers_are_killed(killed_tailers: int) -> None:
     """Another tool appends a record just after tailers were killed.
 
-    What is seen: every live process has it within 4 s. The dead stay in the VM list, so the
-    ranking still counts on them; with all three dead nobody reads until the others have heard
-    no sign for 2.5 s and tail the log themselves.
+    Every live process must have it within 4 s. The killed entries stay in the VM list, so the
+    ranking still includes them. With all three killed, no process reads the log until the others
+    have received no heartbeat for 2.5 s and read the log themselves.
     """
 
     async def async_case() -> None:
         cluster = await async_start(FakeLog())
-        for name in ranked()[:victims]:
+        for name in ranked()[:killed_tailers]:
             cluster.kill(name)
         offset = await cluster.log.async_put(weights_data(7))
         await cluster.async_until_all_have(offset, BOUND)
@@ -90,11 +96,11 @@
     run_virtual(async_case())
 
 
-def test_record_arrives_though_the_log_fails_right_after_acceptance() -> None:
-    """An operator is told "accepted", and the log goes out in the same instant, for good.
+def test_record_arrives_if_log_fails_right_after_acceptance() -> None:
+    """The log fails permanently right after an operator gets "accepted".
 
-    What is seen: the record is in force on every process within 4 s, also after the entry that
-    took it is killed at once. It told its peers before it told the operator.
+    The record must be in force on every process within 4 s, even if the entry that accepted it is
+    killed at once, since that entry pushes the record to its peers before it responds.
     """
 
     async def async_case() -> None:
@@ -112,28 +118,28 @@
     run_virtual(async_case())
 
 
-class LogThatFailsWithAnAppend(FakeLog):
-    """A log that takes one more append and answers it, and nothing after that."""
+class LogFailingAfterAppend(FakeLog):
+    """A log that completes one append and becomes unavailable."""
 
     failing = False
 
     async def async_append(
         self, stream: str, records: list[tuple[str, dict[str, Any]]]
     ) -> Result[list[int], PlatformError]:
-        """Append, and be out before any reader is woken."""
+        """Append the records, and become unavailable before any reader is notified."""
         self.out = self.failing
         return Ok([self.put(data, record_id) for record_id, data in records])
 
 
-def test_accepted_record_survives_the_log_and_the_entry_that_took_it() -> None:
-    """The log fails in the instant of the append, and the entry dies right after "accepted".
+def test_accepted_record_survives_failure_of_log_and_entry() -> None:
+    """The log fails during the append, and the entry is killed right after "accepted".
 
-    What is seen: all others have the record within 4 s, though none of them could read it. The
-    entry answers the operator only after peers have acknowledged the record.
+    All others must have the record within 4 s, although none could read it from the log. The entry
+    responds to the operator only after peers have acknowledged the record.
     """
 
     async def async_case() -> None:
-        log = LogThatFailsWithAnAppend()
+        log = LogFailingAfterAppend()
         cluster = await async_start(log)
         log.failing = True
         answer = await publisher(cluster, ranked()[0]).async_publish(weights_data(7), "p1")
@@ -146,8 +152,8 @@
     run_virtual(async_case())
 
 
-def test_record_of_another_tool_is_everywhere_at_once() -> None:
-    """A record that did not come through an entry is read by the tailers and pushed at once."""
+def test_record_of_another_tool_reaches_all_processes_at_once() -> None:
+    """A record that was not published through an entry is read by tailers and pushed at once."""
 
     async def async_case() -> float:
         cluster = await async_start(FakeLog())
@@ -159,10 +165,10 @@
     assert run_virtual(async_case()) < 0.1
 
 
-def test_push_that_was_lost_is_sent_again() -> None:
-    """The only entry's push to a side process is lost, and nothing else happens after it.
+def test_lost_push_is_sent_again() -> None:
+    """The push of the only entry to a side process is lost, and no other message follows.
 
-    What is seen: the side process has the record a few seconds later. A push that is not
+    The side process must have the record a few seconds later, since a push that is not
     acknowledged is sent again.
     """
 
@@ -188,11 +194,11 @@
     run_virtual(async_case())
 
 
-def test_entry_that_has_read_half_the_log_makes_nobody_current() -> None:
-    """A side process meets an entry that has read 500 of 600 records of a slow log.
+def test_entry_that_has_not_read_whole_log_makes_no_peer_current() -> None:
+    """A side process connects to an entry that has read 500 of 600 records of a slow log.
 
-    What is seen: it is current only with all 600. Current with 500, it could order weights that
-    are long replaced.
+    It must report itself as current only with all 600. If it were current with 500, it could load
+    outdated weights.
     """
 
     async def async_case() -> int:
@@ -212,11 +218,11 @@
     assert run_virtual(async_case()) == 600
 
 
-def test_starters_in_an_outage_take_the_fold_from_peers() -> None:
-    """The log is out; an entry and a side process start.
+def test_processes_started_during_log_outage_get_the_fold_from_peers() -> None:
+    """An entry and a side process start while the log is unavailable.
 
-    What is seen: both are current within 4 s, at the offset that the others have. They ask every
-    peer, and one that has the fold answers with its records or a snapshot.
+    Both must be current within 4 s, at the offset of the others. They send a request to every
+    peer, and a peer that has the fold responds with its records or a snapshot.
     """
 
     async def async_case() -> None:
@@ -235,11 +241,11 @@
     run_virtual(async_case())
 
 
-def test_entries_replaced_in_an_outage_take_the_fold_from_side_processes() -> None:
-    """All entries are replaced while the log is out, so only side processes have the records.
+def test_entries_replaced_during_log_outage_get_the_fold_from_side_processes() -> None:
+    """All entries are replaced during a log outage, so only side processes have the records.
 
-    What is seen: the new entries are current, at the old offset. A side process answers a request
-    for records as an entry does.
+    The new entries must be current at the previous offset, since a side process answers a request
+    for records in the same way as an entry.
     """
 
     async def async_case() -> None:
@@ -259,11 +265,11 @@
     run_virtual(async_case())
 
 
-def test_nobody_is_current_when_all_start_in_an_outage() -> None:
-    """All processes start while the log is out.
+def test_no_process_is_current_if_all_start_during_log_outage() -> None:
+    """All processes start while the log is unavailable.
 
-    What is seen: none claims to know the configuration, and all do once the log is back. An entry
-    that knows nothing must not tell another that there is nothing newer.
+    None may report itself as current until the log recovers, and all must afterwards. An entry
+    that has no records must not tell another that there are no newer records.
     """
 
     async def async_case() -> None:
@@ -285,10 +291,10 @@
     run_virtual(async_case())
 
 
-def test_record_arrives_over_a_network_that_loses_and_repeats() -> None:
-    """A third of all messages between processes is lost and a third comes twice, out of order.
+def test_record_arrives_despite_message_loss_and_duplication() -> None:
+    """A third of all messages is lost, and a third is delivered twice and out of order.
 
-    What is seen: each record is everywhere within 4 s. What is not acknowledged is sent again.
+    Each record must reach all processes within 4 s, since unacknowledged records are sent again.
     """
 
     async def async_case() -> None:
@@ -304,11 +310,11 @@
     run_virtual(async_case())
 
 
-def test_tailer_whose_log_connection_went_silent_gives_no_signs() -> None:
-    """The only tailer's connection to the log stays open and carries nothing more.
+def test_tailer_with_stalled_log_connection_sends_no_heartbeats() -> None:
+    """The log connections of all tailers stay open but deliver no more data.
 
-    What is seen: the others read the log themselves once it has given no sign for long enough.
-    If it gave signs all the same, the others would wait for records that it never gets.
+    The other entries must read the log themselves after enough time without a heartbeat. If the
+    tailers still sent heartbeats, the others would wait for records that the tailers never get.
     """
 
     async def async_case() -> float:
@@ -323,7 +329,7 @@
         for name in ranked()[:3]:
             cut[name].silent = True
         offset = await log.async_put(weights_data(7))
-        # Longer than 4 s: three connections went silent at once, and a poll has to be overdue.
+        # Longer than 4 s: three connections stall at once, and a poll must first be overdue.
         took = await cluster.async_until_all_have(offset, 14.0)
         cluster.close()
         return took
@@ -331,10 +337,10 @@
     assert run_virtual(async_case()) > 0
 
 
-def test_paused_entry_catches_up_and_never_goes_back() -> None:
-    """An entry misses many records, as after a pause, and gets old deltas late.
+def test_paused_entry_catches_up_without_decreasing_offset() -> None:
+    """An entry misses many records, as after a pause, and then receives a delayed old delta.
 
-    What is seen: it has all of them in the end, and its offset never went down.
+    It must catch up with all records, and its offset must not decrease.
     """
 
     async def async_case() -> None:
@@ -356,11 +362,11 @@
     run_virtual(async_case())
 
 
-def test_records_that_are_not_ours_hold_nothing_up() -> None:
-    """A tool appends what no message can carry, between good records.
+def test_invalid_records_do_not_block_later_records() -> None:
+    """A tool appends records that no message can encode, between valid records.
 
-    What is seen: the good ones are in force on every process within 4 s, and what was refused is
-    counted by reason.
+    The valid records must be in force on every process within 4 s, and the rejected records must
+    be counted by reason.
     """
 
     async def async_case() -> None:
