--- a/cranberryline/configs/fold.py
+++ b/cranberryline/configs/fold.py
@@ -17,7 +17,7 @@
     DIGESTS_KEPT,
     HISTORY_LENGTH,
     MAX_UNREAD,
-    VERDICTS_KEPT,
+    RESULTS_KEPT,
 )
 from .envelope import Amendment, EnvelopeError, read_amendment, read_amendment_spec
 from .errors import Rejected, RejectReason
@@ -148,16 +148,16 @@
         """Return the latest revisions accepted by this process, oldest first."""
         return list(self._history.get((Kind(kind), name), ()))
 
-    def verdict(self, offset: int) -> ApplyResult | None:
+    def result_at(self, offset: int) -> ApplyResult | None:
         """Return the result of a recently folded record, or None if it is no longer kept."""
         return self._results.get(offset)
 
-    def verdict_of(self, record_id: str) -> ApplyResult | None:
+    def result_by_id(self, record_id: str) -> ApplyResult | None:
         """Return the result of the first recently folded record with this id, or None."""
         offset = self._offsets_by_id.get(record_id)
         return None if offset is None else self._results.get(offset)
 
-    def accepted_as(self, record_id: str, kind: Kind, name: str) -> Revision | None:
+    def accepted_revision(self, record_id: str, kind: Kind, name: str) -> Revision | None:
         """Return the accepted revision with this record id, or None if it is no longer kept."""
         key = (Kind(kind), name)
         known = [
@@ -251,7 +251,7 @@
     def _evaluate_amendment(self, record: LogRecord, amendment: Amendment) -> ApplyResult:
         current = self.current_revision(amendment.kind, amendment.name)
         if amendment.amends != current:
-            if self.accepted_as(record.id, amendment.kind, amendment.name) is not None:
+            if self.accepted_revision(record.id, amendment.kind, amendment.name) is not None:
                 return Err(Rejected(RejectReason.REPEATED, record.offset, revision=current))
             return Err(_conflict_rejection(record.offset, amendment, current))
         match read_amendment_spec(amendment):
@@ -332,9 +332,9 @@
     def _store_result(self, record: LogRecord, result: ApplyResult) -> None:
         self._results[record.offset] = result
         self._offsets_by_id.setdefault(record.id, record.offset)
-        if len(self._results) > VERDICTS_KEPT:
+        if len(self._results) > RESULTS_KEPT:
             self._results.popitem(last=False)
-        if len(self._offsets_by_id) > VERDICTS_KEPT:
+        if len(self._offsets_by_id) > RESULTS_KEPT:
             self._offsets_by_id.popitem(last=False)
 
     def _reject(self, rejected: Rejected) -> ApplyResult:
--- a/cranberryline/configs/publish.py
+++ b/cranberryline/configs/publish.py
@@ -104,7 +104,7 @@
         """Fold a record with a known offset if it is the next one."""
 
     @abc.abstractmethod
-    async def async_spread(self, offset: int, wait: timedelta) -> int:
+    async def async_replicate(self, offset: int, wait: timedelta) -> int:
         """Push to all peers; return how many acknowledged the offset within `wait`."""
 
 
@@ -134,7 +134,7 @@
         revision = outcome.ok_value.revision
         # Replicate before reporting "accepted". If this process and the log both failed before a
         # peer had the record, it would be in force nowhere until the log recovered.
-        confirmed = await self._source.async_spread(revision.offset, REPLICATION_TIMEOUT)
+        confirmed = await self._source.async_replicate(revision.offset, REPLICATION_TIMEOUT)
         return Ok(Accepted(revision, confirmed))
 
     async def _async_append(
@@ -180,13 +180,13 @@
     ) -> Result[Accepted, PublishRefused] | None:
         """Return the result that the fold has for the record, or None if it has not folded it."""
         fold = self._source.fold
-        revision = fold.accepted_as(record_id, amendment.kind, amendment.name)
+        revision = fold.accepted_revision(record_id, amendment.kind, amendment.name)
         if revision is not None:
             if (revision.raw, revision.schema) == (amendment.raw, amendment.schema):
                 return Ok(Accepted(revision))
             mistake = Mistake(ATTR_ID, record_id, "an id that no other record uses")
             return Err(_invalid(record_id, [mistake]))
-        match fold.verdict_of(record_id):
+        match fold.result_by_id(record_id):
             case Err(Rejected() as rejected):
                 return Err(self._rejected_by_fold(rejected, amendment, record_id))
             case Ok(Applied(revision=Revision() as other)):
--- a/cranberryline/configs/push.py
+++ b/cranberryline/configs/push.py
@@ -60,7 +60,7 @@
         """Return whether any peer has unacknowledged records."""
         return bool(self._attempts)
 
-    def sent(self, peer: str, now: timedelta) -> None:
+    def record_sent(self, peer: str, now: timedelta) -> None:
         """Record that a push was sent to a peer, and schedule the next one."""
         last = self._attempts.get(peer)
         wait = self._first
@@ -68,11 +68,11 @@
             wait = min(last.wait * 2, self._longest)
         self._attempts[peer] = _Attempt(now + wait, wait)
 
-    def due(self, peer: str, now: timedelta) -> bool:
+    def is_due(self, peer: str, now: timedelta) -> bool:
         """Return whether the next push to a peer that is behind is due."""
         attempt = self._attempts.get(peer)
         return attempt is None or attempt.at <= now
 
-    def done(self, peer: str) -> None:
+    def remove(self, peer: str) -> None:
         """Remove a peer that has acknowledged all records or has disconnected."""
         self._attempts.pop(peer, None)
--- a/cranberryline/configs/relay.py
+++ b/cranberryline/configs/relay.py
@@ -17,7 +17,7 @@
 from .snapshot import Snapshot, read_snapshot
 from .wire import safe_record, wire_size
 
-__all__ = ["ConfigRelay", "DeltaTaken", "RelayPort"]
+__all__ = ["ConfigRelay", "DeltaResult", "RelayPort"]
 
 DROP_BAD_DELTA = "config_bad_delta"
 DROP_BAD_REQUEST = "config_bad_request"
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen
-class DeltaTaken:
+class DeltaResult:
     """Result of applying a delta.
 
     `applied` is the number of offsets that the fold advanced, `reply` the acknowledgement or
@@ -112,11 +112,11 @@
                 return i
         return max_stop
 
-    def known(self, peer: str) -> int | None:
+    def acknowledged(self, peer: str) -> int | None:
         """Return the last offset that a peer has acknowledged, or None if unknown."""
         return self._acknowledged.get(peer)
 
-    def set_known(self, peer: str, offset: int) -> None:
+    def set_acknowledged(self, peer: str, offset: int) -> None:
         """Set the last offset that a peer has acknowledged."""
         self._acknowledged[peer] = offset
 
@@ -124,12 +124,12 @@
         """Remove a disconnected peer; it may reconnect with an older offset."""
         self._acknowledged.pop(peer, None)
 
-    def behind(self, peer: str) -> bool:
+    def is_behind(self, peer: str) -> bool:
         """Return whether a peer has not acknowledged all records of this process."""
         acknowledged = self._acknowledged.get(peer)
         return acknowledged is None or acknowledged < self.fold.offset
 
-    def push_for(self, peer: str) -> ConfigDelta:
+    def delta_for(self, peer: str) -> ConfigDelta:
         """Return the delta to send to a peer that is behind.
 
         A peer with an unknown offset gets an empty delta at the current offset, and requests the
@@ -149,13 +149,13 @@
             return ConfigRequest(self.fold.offset + 1)
         return self.delta_since(start)
 
-    def on_delta(self, peer: str, delta: ConfigDelta) -> DeltaTaken:
+    def on_delta(self, peer: str, delta: ConfigDelta) -> DeltaResult:
         """Apply a delta; fold only consecutive records, and nothing of an invalid delta."""
         records = _read_rows(delta)
         base = _read_base(delta)
         if records is None or (delta.base is not None and base is None):
             self.refusals[DROP_BAD_DELTA] += 1
-            return DeltaTaken(0, refused=DROP_BAD_DELTA)
+            return DeltaResult(0, refused=DROP_BAD_DELTA)
         self._acknowledged[peer] = max(self._acknowledged.get(peer, 0), delta.next - 1)
         before = self.fold.offset
         if base is not None:
@@ -163,14 +163,14 @@
         # Folding past a gap would permanently omit a record that all other processes have. The
         # sender can supply the missing records or a newer snapshot, so request them.
         if delta.start > self.fold.offset + 1:
-            return DeltaTaken(0, ConfigRequest(self.fold.offset + 1))
+            return DeltaResult(0, ConfigRequest(self.fold.offset + 1))
         for record in records:
             if record.offset > self.fold.offset:
                 self.fold_record(record)
         has_content = bool(records) or base is not None
         reply = ConfigRequest(self.fold.offset + 1) if has_content else None
         # More records may follow a delta with content; only an empty delta means no newer records.
-        return DeltaTaken(self.fold.offset - before, reply, complete=not has_content)
+        return DeltaResult(self.fold.offset - before, reply, complete=not has_content)
 
 
 def _is_int(value: Any) -> bool:
--- a/cranberryline/configs/tail.py
+++ b/cranberryline/configs/tail.py
@@ -15,27 +15,27 @@
 from .relay import ConfigRelay
 from .wire import safe_record
 
-__all__ = ["LogTail", "PageTaken"]
+__all__ = ["LogTail", "PageResult"]
 
 PAGE_RECORDS = 500
 
 
 @attrs.frozen
-class PageTaken:
+class PageResult:
     """Result of folding a page.
 
-    `moved` is the number of offsets that the fold advanced; `at_end` is True if the log had no
+    `advanced` is the number of offsets that the fold advanced; `at_end` is True if the log had no
     more records at the time.
     """
 
-    moved: int
+    advanced: int
     at_end: bool
 
 
 class LogTail:
     """Reads and folds pages of the log.
 
-    `on_rejected` is called with each record that the fold rejects. `first_kept` is the oldest
+    `on_rejected` is called with each record that the fold rejects. `oldest_offset` is the oldest
     offset that the log still retains.
     """
 
@@ -48,16 +48,16 @@
         self._log = log
         self._relay = relay
         self._on_rejected = on_rejected
-        self.first_kept = 1
+        self.oldest_offset = 1
 
-    async def async_read(self, wait: timedelta = timedelta()) -> Result[PageTaken, PlatformError]:
+    async def async_read(self, wait: timedelta = timedelta()) -> Result[PageResult, PlatformError]:
         """Read and fold the next page; wait up to `wait` for new records (long polling)."""
         start = self._relay.fold.offset + 1
         answer = await self._log.async_read(CONFIG_STREAM, start, PAGE_RECORDS, wait)
         if isinstance(answer, Err):
             return answer
         page = _safe(answer.ok_value)
-        self.first_kept = page.first
+        self.oldest_offset = page.first
         before = self._relay.fold.offset
         if page.first > before + 1:
             started = await self._async_start_from_checkpoint(page)
@@ -67,21 +67,21 @@
             self._fold(page.records)
             if page.records and self._relay.fold.offset < start:
                 return Err(PlatformError(PlatformReason.BAD_ANSWER, "records are missing"))
-        moved = self._relay.fold.offset - before
-        return Ok(PageTaken(moved, len(page.records) < PAGE_RECORDS))
+        advanced = self._relay.fold.offset - before
+        return Ok(PageResult(advanced, len(page.records) < PAGE_RECORDS))
 
     async def async_read_to_end(self) -> Result[int, PlatformError]:
         """Fold all records that the log has now; return the number of offsets advanced."""
-        moved = 0
+        advanced = 0
         while True:
             read = await self.async_read()
             if isinstance(read, Err):
                 return read
-            moved += read.ok_value.moved
-            if read.ok_value.at_end or not read.ok_value.moved:
-                return Ok(moved)
+            advanced += read.ok_value.advanced
+            if read.ok_value.at_end or not read.ok_value.advanced:
+                return Ok(advanced)
 
-    def fold_one(self, record: LogRecord) -> bool:
+    def fold_if_next(self, record: LogRecord) -> bool:
         """Fold a record if it is the next one; return whether the fold advanced."""
         return record.offset == self._relay.fold.offset + 1 and self._fold_record(record)
 
@@ -113,11 +113,11 @@
                 return
 
     def _fold_record(self, record: LogRecord) -> bool:
-        moved = self._relay.fold_record(record)
-        result = self._relay.fold.verdict(record.offset)
+        advanced = self._relay.fold_record(record)
+        result = self._relay.fold.result_at(record.offset)
         if isinstance(result, Err):
             self._on_rejected(record, result.err_value)
-        return moved
+        return advanced
 
 
 def _safe(page: LogPage) -> LogPage:
--- a/cranberryline/entry/app.py
+++ b/cranberryline/entry/app.py
@@ -335,7 +335,7 @@
             service=vm.service,
             state=self.members.state(vm.id).value,
             connected=vm.id in self.links.connected() or vm.id in self.mesh.connected(),
-            config_offset=self.config_sync.relay.known(vm.id),
+            config_offset=self.config_sync.relay.acknowledged(vm.id),
             weight_version=None if load is None else load.weight_version,
         )
 
--- a/cranberryline/entry/config_sync.py
+++ b/cranberryline/entry/config_sync.py
@@ -123,7 +123,7 @@
 
     def known_offset(self, peer: str) -> int | None:
         """Return the offset that a peer is known to have, or None."""
-        return self.relay.known(peer)
+        return self.relay.acknowledged(peer)
 
     async def async_wait_current(self) -> None:
         """Wait until the fold is current."""
@@ -157,16 +157,16 @@
         if not isinstance(offset, int) or isinstance(offset, bool) or offset < 0:
             self._record_drop(DROP_BAD_OFFSET, peer=peer)
             return
-        self.relay.set_known(peer, offset)
+        self.relay.set_acknowledged(peer, offset)
         if offset > self.fold.offset:
             self._relay_port.send(peer, ConfigRequest(self.fold.offset + 1))
-        elif self.relay.behind(peer):
+        elif self.relay.is_behind(peer):
             self._push(peer)
 
     def on_peer_lost(self, peer: str) -> None:
         """Discard the state of a peer whose connection ended."""
         self.relay.forget(peer)
-        self._resends.done(peer)
+        self._resends.remove(peer)
 
     def on_message(self, peer: str, message: Message) -> None:
         """Handle a ConfigDelta or ConfigRequest from a peer."""
@@ -189,10 +189,10 @@
 
     def fold_next(self, record: LogRecord) -> None:
         """Fold a record that was appended to the log, if its offset is the next one."""
-        if self._tail.fold_one(record):
+        if self._tail.fold_if_next(record):
             self._on_offset_changed()
 
-    async def async_spread(self, offset: int, wait: timedelta) -> int:
+    async def async_replicate(self, offset: int, wait: timedelta) -> int:
         """Push to all peers; return how many entries confirmed the offset within the wait."""
         self._push_to_all()
         peers = list(self._relay_port.entry_peers())
@@ -206,7 +206,7 @@
         return confirmed
 
     def _count_at_offset(self, peers: list[str], offset: int) -> int:
-        return sum((self.relay.known(peer) or 0) >= offset for peer in peers)
+        return sum((self.relay.acknowledged(peer) or 0) >= offset for peer in peers)
 
     def _heartbeat_overdue(self, rank: int) -> bool:
         return self._until_takeover(rank) < timedelta()
@@ -223,8 +223,8 @@
         if response is None:
             self._record_drop(DROP_PREFIX + "bad_request", peer=peer)
             return
-        if not self.relay.behind(peer):
-            self._resends.done(peer)
+        if not self.relay.is_behind(peer):
+            self._resends.remove(peer)
             self._offset_changed.notify()
         # An entry that is not current yet must not answer "nothing newer": another starting entry
         # would treat an empty configuration as the one in force.
@@ -272,7 +272,7 @@
 
     def _push_to_all(self) -> None:
         for peer in self._peers():
-            if self.relay.behind(peer):
+            if self.relay.is_behind(peer):
                 self._push(peer)
 
     def _push(self, peer: str) -> None:
@@ -280,8 +280,8 @@
             return
         if not self._resends.pending:
             self._resend_added.notify()
-        self._resends.sent(peer, self._clock.monotonic())
-        self._relay_port.send(peer, self.relay.push_for(peer))
+        self._resends.record_sent(peer, self._clock.monotonic())
+        self._relay_port.send(peer, self.relay.delta_for(peer))
 
     def _peers(self) -> list[str]:
         return [*self._relay_port.entry_peers(), *self._relay_port.side_peers()]
@@ -317,7 +317,7 @@
         if isinstance(result, Err):
             return result
         self._last_read = self._clock.monotonic()
-        self._after_read(result.ok_value.moved, result.ok_value.at_end)
+        self._after_read(result.ok_value.advanced, result.ok_value.at_end)
         return Ok(None)
 
     async def _async_ticks(self) -> None:
@@ -351,9 +351,9 @@
 
     def _resend_due(self, now: timedelta) -> None:
         for peer in self._peers():
-            if not self.relay.behind(peer):
-                self._resends.done(peer)
-            elif self._resends.due(peer, now):
+            if not self.relay.is_behind(peer):
+                self._resends.remove(peer)
+            elif self._resends.is_due(peer, now):
                 self._metrics.retry(RETRY_PUSH)
                 self._push(peer)
 
@@ -387,7 +387,7 @@
                 await self._async_checkpoint()
 
     def _checkpoint_due(self) -> bool:
-        return self._checkpoints.due(self.fold, self._tail.first_kept, self._clock.now())
+        return self._checkpoints.due(self.fold, self._tail.oldest_offset, self._clock.now())
 
     async def _async_checkpoint(self) -> None:
         record = checkpoint_record(self.fold, self._vm_id)
--- a/cranberryline/side/config_sync.py
+++ b/cranberryline/side/config_sync.py
@@ -106,7 +106,7 @@
         if not isinstance(offset, int) or isinstance(offset, bool) or offset < 0:
             self._count_dropped(DROP_BAD_OFFSET, peer=peer)
             return
-        self.relay.set_known(peer, offset)
+        self.relay.set_acknowledged(peer, offset)
         if offset > self.fold.offset or not self.current:
             self._relay_port.send(peer, ConfigRequest(self.fold.offset + 1))
 
--- a/tests/configs/config_fakes.py
+++ b/tests/configs/config_fakes.py
@@ -323,8 +323,8 @@
 
     def fold_next(self, record: LogRecord) -> None:
         """Fold the record if it is the next."""
-        self.tail.fold_one(record)
+        self.tail.fold_if_next(record)
 
-    async def async_spread(self, offset: int, wait: timedelta) -> int:
+    async def async_replicate(self, offset: int, wait: timedelta) -> int:
         """There is nobody to push to."""
         return 0
--- a/tests/configs/test_config_publish.py
+++ b/tests/configs/test_config_publish.py
@@ -102,7 +102,7 @@
 
 
 def test_repeated_publication_is_idempotent(log: FakeLog) -> None:
-    """An operator whose response was lost publishes the record with the same id at another entry."""
+    """An operator whose response was lost publishes the record again with the same id."""
     first = publish(log, weights_data(2, 1)).unwrap()
     again = publish(log, weights_data(2, 1)).unwrap()
     assert again.revision.offset == first.revision.offset
--- a/tests/configs/test_config_relay.py
+++ b/tests/configs/test_config_relay.py
@@ -72,7 +72,7 @@
     answer = relay.on_request("b", result.reply)
     assert answer == ConfigDelta(4, 4, ())
     assert other.on_delta("a", answer).reply is None
-    assert not relay.behind("b")
+    assert not relay.is_behind("b")
 
 
 @pytest.mark.parametrize("start", [0, -1, True, "1", None])
@@ -81,7 +81,7 @@
     relay = relay_with(2)
     assert relay.on_request("e", ConfigRequest(start)) is None
     assert sum(relay.refusals.values()) == 1
-    assert relay.known("e") is None
+    assert relay.acknowledged("e") is None
 
 
 @pytest.mark.parametrize(
--- a/tests/configs/test_config_traces.py
+++ b/tests/configs/test_config_traces.py
@@ -35,7 +35,7 @@
         record = LogRecord(len(self.log) + 1, NOW, line["id"], line["data"])
         self.log.append(record)
         self.reader.fold_record(record)
-        verdict = self.reader.fold.verdict(record.offset)
+        verdict = self.reader.fold.result_at(record.offset)
         assert verdict is not None
         return verdict.err_value.reason.value if isinstance(verdict, Err) else "applied"
 
