--- a/cranberryline/configs/const.py
+++ b/cranberryline/configs/const.py
@@ -44,7 +44,7 @@
 MAX_VERSION = 2**53
 
 HISTORY_LENGTH = 20  # revisions kept per record name
-MAX_VERDICTS_KEPT = 1024
+MAX_RESULTS_KEPT = 1024
 MAX_DIGESTS_KEPT = 1024
 MAX_UNREAD = 1000  # records kept whose schema version is not supported
 
--- a/cranberryline/configs/tail.py
+++ b/cranberryline/configs/tail.py
@@ -1,4 +1,4 @@
-"""Read the configuration stream of the log into the fold."""
+"""Reads the configuration stream of the log into the fold."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -15,21 +15,29 @@
 from .relay import ConfigRelay
 from .wire import sanitize_record
 
-__all__ = ["LogTail", "PageTaken"]
+__all__ = ["LogTail", "PageResult"]
 
 PAGE_RECORDS = 500
 
 
 @attrs.frozen
-class PageTaken:
-    """What a page did: how far the fold moved, and whether the log had no more then."""
+class PageResult:
+    """Result of folding a page.
 
-    moved: int
+    `advanced` is the number of offsets that the fold advanced; `at_end` is True if the log had no
+    more records at the time.
+    """
+
+    advanced: int
     at_end: bool
 
 
 class LogTail:
-    """Fold pages of the log; `on_rejected` hears of each record that is not in force."""
+    """Reads and folds pages of the log.
+
+    `on_rejected` is called with each record that the fold rejects. `oldest_offset` is the oldest
+    offset that the log still retains.
+    """
 
     def __init__(
         self,
@@ -40,16 +48,16 @@
         self._log = log
         self._relay = relay
         self._on_rejected = on_rejected
-        self.first_kept = 1
+        self.oldest_offset = 1
 
-    async def async_read(self, wait: timedelta = timedelta()) -> Result[PageTaken, PlatformError]:
-        """Read and fold the next page, holding the call open while there is none."""
+    async def async_read(self, wait: timedelta = timedelta()) -> Result[PageResult, PlatformError]:
+        """Read and fold the next page; wait up to `wait` for new records (long polling)."""
         start = self._relay.fold.offset + 1
         answer = await self._log.async_read(CONFIG_STREAM, start, PAGE_RECORDS, wait)
         if isinstance(answer, Err):
             return answer
         page = _safe(answer.ok_value)
-        self.first_kept = page.first
+        self.oldest_offset = page.first
         before = self._relay.fold.offset
         if page.first > before + 1:
             started = await self._async_start_from_checkpoint(page)
@@ -59,29 +67,30 @@
             self._fold(page.records)
             if page.records and self._relay.fold.offset < start:
                 return Err(PlatformError(PlatformReason.BAD_ANSWER, "records are missing"))
-        moved = self._relay.fold.offset - before
-        return Ok(PageTaken(moved, len(page.records) < PAGE_RECORDS))
+        advanced = self._relay.fold.offset - before
+        return Ok(PageResult(advanced, len(page.records) < PAGE_RECORDS))
 
     async def async_read_to_end(self) -> Result[int, PlatformError]:
-        """Fold all that the log has now; return how far the fold moved."""
-        moved = 0
+        """Fold all records that the log has now; return the number of offsets advanced."""
+        advanced = 0
         while True:
             read = await self.async_read()
             if isinstance(read, Err):
                 return read
-            moved += read.ok_value.moved
-            if read.ok_value.at_end or not read.ok_value.moved:
-                return Ok(moved)
+            advanced += read.ok_value.advanced
+            if read.ok_value.at_end or not read.ok_value.advanced:
+                return Ok(advanced)
 
-    def fold_one(self, record: LogRecord) -> bool:
-        """Fold one record if it is the next; return whether the fold moved."""
+    def fold_if_next(self, record: LogRecord) -> bool:
+        """Fold a record if it is the next one; return whether the fold advanced."""
         return record.offset == self._relay.fold.offset + 1 and self._fold_record(record)
 
     async def _async_start_from_checkpoint(self, page: LogPage) -> Result[None, PlatformError]:
-        """Start where the log has forgotten what comes next for this fold.
+        """Continue from a checkpoint if the log no longer retains the next record of the fold.
 
-        Folding on from the oldest record kept would lack everything older: limits and weights would
-        be those of nobody. A checkpoint after which nothing was forgotten holds the rest.
+        Folding from the oldest retained record would omit all older records and produce limits and
+        weights that were never in force. A checkpoint followed only by retained records contains
+        the missing part.
         """
         first, records = page.first, list(page.records)
         while len(page.records) >= PAGE_RECORDS:
@@ -104,11 +113,11 @@
                 return
 
     def _fold_record(self, record: LogRecord) -> bool:
-        moved = self._relay.fold_record(record)
-        verdict = self._relay.fold.verdict(record.offset)
-        if isinstance(verdict, Err):
-            self._on_rejected(record, verdict.err_value)
-        return moved
+        advanced = self._relay.fold_record(record)
+        result = self._relay.fold.result_at(record.offset)
+        if isinstance(result, Err):
+            self._on_rejected(record, result.err_value)
+        return advanced
 
 
 def _safe(page: LogPage) -> LogPage:
