--- a/cranberryline/jobs/runner.py
+++ b/cranberryline/jobs/runner.py
@@ -192,7 +192,7 @@
         """Check the changed jobs, and all open jobs once every `_FULL_SCAN_INTERVAL`.
 
         A change of one job does not make items of another job due. Checking all open jobs on each
-        change costs a node ten milliseconds of CPU time per second (`script/bench fold`).
+        change costs a node ten milliseconds of CPU time per second.
         """
         if self._clock.monotonic() >= self._next_full_scan:
             self._scan_all()
--- a/tests/weights/test_weights_controller.py
+++ b/tests/weights/test_weights_controller.py
@@ -191,10 +191,7 @@
 
 
 def test_busy_store_is_not_retried_before_its_retry_after_time() -> None:
-    """The store rejects the fetch twice with Retry-After 2 s.
-
-    The order is sent again after 2 s plus jitter each time, until it succeeds.
-    """
+    """The store rejects the fetch twice with Retry-After 2 s; each order waits that long and jitter."""
 
     async def async_case() -> None:
         harness = Harness(FakeEngine())
@@ -356,10 +353,7 @@
 
 
 def test_order_is_sent_again_when_its_response_cannot_be_parsed() -> None:
-    """The engine's client raises an exception for an unexpected response.
-
-    No order stays in flight, and the target version is served a few seconds later.
-    """
+    """The client raises for an unexpected response; the target is served a few seconds later."""
 
     async def async_case() -> None:
         harness = Harness(FakeEngine())
